--- a/crates/testbed/src/scale/fleet.rs
+++ b/crates/testbed/src/scale/fleet.rs
@@ -15,7 +15,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use sender::api::{Event, Settings};
-use sender::listed::{Listed, Words};
+use sender::listed::{CatalogueDirectory, SettingsNames};
 use sender::on_demand::OnDemandList;
 use sender::policy;
 use sender::settings;
@@ -39,8 +39,11 @@
 const LOOK_EVERY: Duration = Duration::from_millis(5);
 
 /// The words of this deployment, as its settings number them.
-pub fn words() -> Words {
-    Words { kinds: MACHINE_TYPES.map(str::to_string).to_vec(), zones: (0..ZONES).map(zone_name).collect() }
+pub fn words() -> SettingsNames {
+    SettingsNames {
+        kinds: MACHINE_TYPES.map(str::to_string).to_vec(),
+        zones: (0..ZONES).map(zone_name).collect(),
+    }
 }
 
 /// The settings of a sender of this deployment.
@@ -213,7 +216,7 @@
     random: ChaCha8Rng,
     policy: policy::Sender,
     list: OnDemandList,
-    words: Arc<Words>,
+    words: Arc<SettingsNames>,
     catalogue: Catalogue,
     shared: Shared,
     progress: Arc<Progress>,
@@ -269,16 +272,16 @@
 
     fn apply(&mut self, taken: Taken) {
         self.catalogue = taken.catalogue;
-        let listed = Listed { catalogue: &self.catalogue, words: &self.words };
+        let listed = CatalogueDirectory { catalogue: &self.catalogue, names: &self.words };
         let mut events: Vec<Event> = Vec::new();
         match taken.reset {
             // Without messages it knows no destination that it could be behind with.
-            true => self.list.replaced(&self.policy, &listed, &mut events),
-            false => self.list.changed(&self.policy, &listed, &taken.changed, &mut events),
+            true => self.list.directory_replaced(&self.policy, &listed, &mut events),
+            false => self.list.endpoints_changed(&self.policy, &listed, &taken.changed, &mut events),
         }
         let mut actions = Vec::new();
         self.policy.handle(self.clock.now(), &events, &mut actions);
-        self.list.handled();
+        self.list.events_handled();
         self.share(taken.generation);
     }
 
--- a/crates/testbed/src/scale/module.rs
+++ b/crates/testbed/src/scale/module.rs
@@ -6,7 +6,7 @@
 use sender::api::{
     Action, AttemptEnd, Condition, Entry, Event, Message, MsgId, Ns, Outcome, Settings, MS, SECOND,
 };
-use sender::listed::{Listed, Words};
+use sender::listed::{CatalogueDirectory, SettingsNames};
 use sender::on_demand::OnDemandList;
 use sender::policy;
 use std::collections::HashMap;
@@ -25,7 +25,7 @@
     /// What is listed, and told to the module as it needs it; without, it is told lists by the caller.
     directory: Option<Catalogue>,
     on_demand: OnDemandList,
-    words: Words,
+    words: SettingsNames,
     tick: Ns,
     now: Ns,
     next: MsgId,
@@ -67,7 +67,7 @@
             kind: 0,
             zone: 0,
             condition: Condition::Ready,
-            hint: 1.0,
+            rate_hint: 1.0,
         };
         let entries = (0..destinations).map(entry).collect();
         self.handle(vec![Event::List { whole: true, entries }]);
@@ -75,11 +75,11 @@
 
     /// Puts a list in force, and tells the module as much of it as it needs.
     pub fn take(&mut self, taken: Taken) {
-        let listed = Listed { catalogue: &taken.catalogue, words: &self.words };
+        let listed = CatalogueDirectory { catalogue: &taken.catalogue, names: &self.words };
         let mut events = Vec::new();
         match taken.reset {
-            true => self.on_demand.replaced(&self.policy, &listed, &mut events),
-            false => self.on_demand.changed(&self.policy, &listed, &taken.changed, &mut events),
+            true => self.on_demand.directory_replaced(&self.policy, &listed, &mut events),
+            false => self.on_demand.endpoints_changed(&self.policy, &listed, &taken.changed, &mut events),
         }
         self.directory = Some(taken.catalogue);
         self.handle(events);
@@ -117,10 +117,10 @@
         let (id, dest) = (self.next, self.next % destinations);
         self.next += 1;
         if let Some(catalogue) = &self.directory {
-            let listed = Listed { catalogue, words: &self.words };
+            let listed = CatalogueDirectory { catalogue, names: &self.words };
             self.on_demand.before_message(&self.policy, &listed, dest, events);
         }
-        let message = Message { id, class: 0, dest, left: LEFT, cost: 0, key: None, tenant: 0 };
+        let message = Message { id, class: 0, dest, time_left: LEFT, cost: 0, key: None, tenant: 0 };
         events.push(Event::Message(message));
     }
 
@@ -137,13 +137,13 @@
     fn handle(&mut self, mut events: Vec<Event>) {
         self.now += self.tick;
         if let Some(catalogue) = &self.directory {
-            let listed = Listed { catalogue, words: &self.words };
-            self.on_demand.catch_up(&self.policy, &listed, CATCH_UP, &mut events);
+            let listed = CatalogueDirectory { catalogue, names: &self.words };
+            self.on_demand.tell_pending(&self.policy, &listed, CATCH_UP, &mut events);
         }
         events.append(&mut self.ends);
         let mut actions = Vec::new();
         self.policy.handle(self.now, &events, &mut actions);
-        self.on_demand.handled();
+        self.on_demand.events_handled();
         for action in actions {
             self.carry_out(action);
         }
@@ -162,7 +162,7 @@
                     outcome: self.outcome,
                     took: TOOK,
                     done,
-                    wait: 0,
+                    retry_after: 0,
                     report: None,
                 };
                 if done {
--- a/crates/testbed/src/sim/senders.rs
+++ b/crates/testbed/src/sim/senders.rs
@@ -132,11 +132,11 @@
     }
 
     pub fn idle_close(&self) -> Ns {
-        self.settings.idle_close
+        self.settings.idle_timeout
     }
 
     pub fn dial_timeout(&self) -> Ns {
-        self.settings.dial_timeout
+        self.settings.connect_timeout
     }
 }
 
@@ -148,5 +148,5 @@
 fn message(id: MsgId, held: &Held, now: Ns) -> Message {
     // Clients state whole milliseconds.
     let left = (held.due - now) / MS * MS;
-    Message { id, class: held.class, dest: held.dest.into(), left, cost: 0, key: None, tenant: 0 }
+    Message { id, class: held.class, dest: held.dest.into(), time_left: left, cost: 0, key: None, tenant: 0 }
 }
--- a/crates/testbed/src/sim/world/calls.rs
+++ b/crates/testbed/src/sim/world/calls.rs
@@ -204,7 +204,7 @@
             outcome,
             took: self.now - call.sent,
             done,
-            wait,
+            retry_after: wait,
             report: None,
         };
         self.tell(call.sender, Event::AttemptEnd(end));
--- a/crates/testbed/src/sim/world/lists.rs
+++ b/crates/testbed/src/sim/world/lists.rs
@@ -57,7 +57,7 @@
                 kind: usize::from(!dest.flagship),
                 zone: drawn.zone as usize,
                 condition,
-                hint: dest.per_s,
+                rate_hint: dest.per_s,
             }
         };
         Event::List { whole: told.reset, entries: told.entries.iter().map(entry).collect() }
--- a/src/api.rs
+++ b/src/api.rs
@@ -32,15 +32,15 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Delivered within this time, a message earns its full worth.
-    pub aim: Ns,
+    pub latency_target: Ns,
     /// The aim grows by this multiple of the message's own expected work.
-    pub aim_stretch: f64,
+    pub latency_target_per_cost: f64,
     /// From when it was first handed in until it is given up.
     pub deadline: Ns,
     pub effect: Effect,
-    pub scope: DedupScope,
+    pub dedup_scope: DedupScope,
     /// Keyed: how long repeats are dropped, from the first attempt that may have run.
-    pub window: Ns,
+    pub dedup_window: Ns,
     pub worth: f64,
     /// Share of the worth left at the deadline.
     pub late_worth: f64,
@@ -48,9 +48,9 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Kind {
+pub struct EndpointKind {
     /// Messages in one call at most.
-    pub batch: usize,
+    pub max_batch: usize,
     /// Each endpoint has its own limit, pace and outages.
     pub separate_routes: bool,
 }
@@ -64,12 +64,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     pub classes: Vec<Class>,
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<EndpointKind>,
     pub tenants: Vec<Tenant>,
-    pub over_share_worth: f64,
+    pub over_quota_worth: f64,
     /// Worth halves with each further aim (else it falls evenly to the deadline).
-    pub halves: bool,
-    pub n_instances: usize,
+    pub exponential_decay: bool,
+    pub sender_count: usize,
     pub zone: usize,
     pub tick: Ns,
     /// Calls this sender may have out at once.
@@ -82,17 +82,17 @@
     pub may_duplicate: bool,
     pub may_probe: bool,
     pub may_cancel: bool,
-    pub streams_per_conn: usize,
-    pub idle_close: Ns,
-    pub dial_timeout: Ns,
+    pub streams_per_connection: usize,
+    pub idle_timeout: Ns,
+    pub connect_timeout: Ns,
     /// The list's figure is a rate in calls a second, exact or rough.
-    pub hints: bool,
-    pub rough_hints: bool,
-    pub start_capacity: f64,
-    pub cold: Ns,
-    pub fall_multiple: f64,
-    pub overload_for: Ns,
-    pub key_rest: Ns,
+    pub rate_hints: bool,
+    pub rough_rate_hints: bool,
+    pub slow_start_capacity: f64,
+    pub slow_start_window: Ns,
+    pub overload_factor: f64,
+    pub overload_duration: Ns,
+    pub key_quiet_period: Ns,
     pub price_handshake: f64,
     pub price_cross_zone: f64,
     pub price_refused: f64,
@@ -115,8 +115,8 @@
     pub kind: usize,
     pub zone: usize,
     pub condition: Condition,
-    /// Rate in calls a second where `Settings::hints` says so.
-    pub hint: f64,
+    /// Rate in calls a second where `Settings::rate_hints` says so.
+    pub rate_hint: f64,
 }
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
@@ -125,7 +125,8 @@
     pub class: usize,
     pub dest: DestId,
     /// How long it may still be delivered.
-    pub left: Ns,
+    #[serde(rename = "left")]
+    pub time_left: Ns,
     pub cost: Ns,
     pub key: Option<u64>,
     pub tenant: usize,
@@ -133,9 +134,10 @@
 
 /// What an answer told of the destination's limit.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Report {
+pub struct LimitReport {
     /// Share of the allowance that is left.
-    pub left: f64,
+    #[serde(rename = "left")]
+    pub remaining: f64,
     /// Calls a second from all senders; 0 where there is no limit.
     pub limit: f64,
 }
@@ -170,7 +172,7 @@
     }
 
     /// How long the attempt took says something of its destination's work.
-    pub fn tells_latency(self) -> bool {
+    pub fn measures_latency(self) -> bool {
         !matches!(
             self,
             Outcome::NotSent
@@ -198,8 +200,9 @@
     /// The message has ended, by this or before.
     pub done: bool,
     /// Told to send nothing to that destination (or route) for so long; 0 if not.
-    pub wait: Ns,
-    pub report: Option<Report>,
+    #[serde(rename = "wait")]
+    pub retry_after: Ns,
+    pub report: Option<LimitReport>,
 }
 
 /// An attempt made by an earlier process, on this one's clock.
@@ -239,20 +242,21 @@
     },
     AttemptEnd(AttemptEnd),
     /// The client took the message back; nothing more is owed.
-    Expired {
+    Withdrawn {
         id: MsgId,
     },
     Probed {
         endpoint: EndpointId,
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LimitReport>,
     },
     Timer,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Sends to one endpoint in one reply share a call, up to `Kind::batch`. `limit` 0: until the client gives up.
+    /// Sends to one endpoint in one reply share a call, up to `EndpointKind::max_batch`. `limit` 0: until the client
+    /// gives up.
     Send {
         id: MsgId,
         endpoint: EndpointId,
--- a/src/bin/sender/client.rs
+++ b/src/bin/sender/client.rs
@@ -14,7 +14,7 @@
 pub use outcome::{end, end_of};
 use outcome::{load_report, outcome, read_ends, wait_told, Answer};
 use pool::Pool;
-use sender::api::{AttemptEnd, EndpointId, Ns, Outcome, Report, MS};
+use sender::api::{AttemptEnd, EndpointId, LimitReport, Ns, Outcome, MS};
 use sender::records::Taken;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -348,7 +348,7 @@
         self.probed(endpoint, outcome, report).await;
     }
 
-    async fn probed(&self, endpoint: EndpointId, outcome: Outcome, report: Option<Report>) {
+    async fn probed(&self, endpoint: EndpointId, outcome: Outcome, report: Option<LimitReport>) {
         let _ = self.core.send(Input::Probed { endpoint, outcome, report }).await;
     }
 }
--- a/src/bin/sender/client/outcome.rs
+++ b/src/bin/sender/client/outcome.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, RETRY_AFTER};
-use sender::api::{AttemptEnd, EndpointId, Ns, Outcome, Report};
+use sender::api::{AttemptEnd, EndpointId, LimitReport, Ns, Outcome};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 pub fn end_of(id: u64, attempt: u32, endpoint: EndpointId, outcome: Outcome, started: Instant) -> AttemptEnd {
     let done = outcome == Outcome::Served;
     let took = started.elapsed().as_nanos() as Ns;
-    AttemptEnd { id, attempt, endpoint, outcome, took, done, wait: 0, report: None }
+    AttemptEnd { id, attempt, endpoint, outcome, took, done, retry_after: 0, report: None }
 }
 
 /// The protocol's table: outcome, and whether the message is over. What it does not name may have run.
@@ -74,7 +74,7 @@
     };
     let tell = |m: &Member| {
         let (outcome, done) = state(m);
-        AttemptEnd { done, wait, report, ..end(m, endpoint, outcome, started) }
+        AttemptEnd { done, retry_after: wait, report, ..end(m, endpoint, outcome, started) }
     };
     members.iter().map(tell).collect()
 }
@@ -86,7 +86,7 @@
 }
 
 /// `Endpoint-Load-Metrics: TEXT x0=0.4, x1=25`
-pub fn load_report(headers: &HeaderMap) -> Option<Report> {
+pub fn load_report(headers: &HeaderMap) -> Option<LimitReport> {
     let text = headers.get("endpoint-load-metrics")?.to_str().ok()?;
     let value = |name: &str| {
         let mut pairs = text.split([',', ' ']).filter_map(|p| p.split_once('='));
@@ -94,6 +94,6 @@
     };
     match (value("x0"), value("x1")) {
         (None, None) => None,
-        (left, limit) => Some(Report { left: left.unwrap_or(0.0), limit: limit.unwrap_or(0.0) }),
+        (left, limit) => Some(LimitReport { remaining: left.unwrap_or(0.0), limit: limit.unwrap_or(0.0) }),
     }
 }
--- a/src/bin/sender/config.rs
+++ b/src/bin/sender/config.rs
@@ -3,7 +3,7 @@
 use catalogue::intake;
 use catalogue::Catalogue;
 use sender::api::Settings;
-use sender::settings::{self, Around};
+use sender::settings::{self, ProgramSettings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::fs::File;
@@ -142,7 +142,7 @@
     pub settings: Settings,
     /// The settings as they stand in the file.
     pub told: String,
-    pub around: Around,
+    pub around: ProgramSettings,
 }
 
 fn var(name: &str) -> Option<String> {
--- a/src/bin/sender/core.rs
+++ b/src/bin/sender/core.rs
@@ -15,7 +15,7 @@
 use sender::on_demand::OnDemandList;
 use sender::policy::Sender;
 use sender::records::{wall_ms, Begun, Ending, Record, Taken};
-use sender::settings::Around;
+use sender::settings::ProgramSettings;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -74,7 +74,7 @@
 pub struct Core<F: Files = Disk> {
     sender: Sender,
     settings: Settings,
-    around: Around,
+    around: ProgramSettings,
     journal: Journal<F>,
     maint: Maint,
     learned: Option<Learned>,
@@ -199,7 +199,7 @@
             tracing::warn!("the settings are new: going on from the journal alone");
             return None;
         }
-        self.sender = state.module.taken_over(self.settings.clone());
+        self.sender = state.module.after_handover(self.settings.clone());
         self.go_on_from(state.clock);
         self.next_id = self.next_id.max(state.next_id);
         let calls = state.calls.into_iter().map(|(id, n, endpoint)| ((id, n), endpoint));
@@ -218,7 +218,7 @@
         let Some(kept) = self.learned.as_ref().and_then(|l| l.read(wall_ns())) else {
             return FirstCatalogue::known(known);
         };
-        self.sender = kept.module.restarted(self.settings.clone(), self.seed);
+        self.sender = kept.module.after_restart(self.settings.clone(), self.seed);
         self.go_on_from(kept.clock);
         FirstCatalogue::restarted(&kept.numbers.endpoints, kept.numbers.next_id, known)
     }
@@ -230,7 +230,7 @@
             let named = |id| Some((id, catalogue.get(id)?.name.to_string()));
             let endpoints = self.sender.known_endpoints().filter_map(named).collect();
             let numbers = &Numbers { endpoints, next_id: catalogue.next_id() };
-            self.sender.learned(|module| learned.write(&Snapshot { module, clock, numbers }));
+            self.sender.without_work(|module| learned.write(&Snapshot { module, clock, numbers }));
         }
     }
 
@@ -245,7 +245,7 @@
         let mut events = Vec::new();
         self.heed_operators(&mut events);
         if new_to_module {
-            self.on_demand.replaced(&self.sender, &*self.directory, &mut events);
+            self.on_demand.directory_replaced(&self.sender, &*self.directory, &mut events);
         }
         if handed.is_none() {
             let first = timeout(FIRST_LIST, self.inbox.recv()).await;
@@ -324,7 +324,7 @@
                 }
             }
             let wake = self.timer.map(|at| self.instant(at));
-            let has_more = !self.next.is_empty() || self.on_demand.is_behind();
+            let has_more = !self.next.is_empty() || self.on_demand.has_pending();
             let wake = if has_more { Some(Instant::now()) } else { wake };
             let probe = self.write_failed.map(|at| at + PROBE);
             let learned = self.learned.as_ref().map(Learned::due);
@@ -383,11 +383,11 @@
             while let Ok(input) = self.inbox.try_recv() {
                 inputs.push(input);
             }
-            if inputs.is_empty() && self.next.is_empty() && !self.on_demand.is_behind() {
+            if inputs.is_empty() && self.next.is_empty() && !self.on_demand.has_pending() {
                 return true;
             }
             let mut events = std::mem::take(&mut self.next);
-            self.on_demand.catch_up(&self.sender, &*self.directory, usize::MAX, &mut events);
+            self.on_demand.tell_pending(&self.sender, &*self.directory, usize::MAX, &mut events);
             self.round(inputs, events).await;
         }
         false
@@ -481,9 +481,9 @@
         self.client.follow_list();
         self.heed_operators(events);
         if whole {
-            self.on_demand.replaced(&self.sender, &*self.directory, events);
+            self.on_demand.directory_replaced(&self.sender, &*self.directory, events);
         } else {
-            self.on_demand.changed(&self.sender, &*self.directory, &taken.changed, events);
+            self.on_demand.endpoints_changed(&self.sender, &*self.directory, &taken.changed, events);
         }
     }
 
@@ -493,7 +493,7 @@
         let (now, wall) = (self.clock(at), wall_ms());
         let (mut records, mut decided) = (Vec::new(), Vec::new());
         let mut round = Round { at, events, offered: BTreeMap::new(), claimed: 0 };
-        self.on_demand.catch_up(&self.sender, &*self.directory, CATCH_UP, &mut round.events);
+        self.on_demand.tell_pending(&self.sender, &*self.directory, CATCH_UP, &mut round.events);
         for input in inputs {
             match input {
                 Input::Offer { taken, end, reply } => self.offer(taken, end, reply, &mut round),
@@ -533,7 +533,7 @@
         if !self.winding() {
             self.sender.handle(now, &events, &mut actions);
         }
-        self.on_demand.handled();
+        self.on_demand.events_handled();
         let mut calls: Vec<(EndpointId, Vec<Member>)> = Vec::new();
         let mut begun = Vec::new();
         let mut endings = Vec::new();
@@ -634,7 +634,7 @@
             // Without its record nothing new is begun or taken on.
             for (id, o) in offered {
                 self.forget(id);
-                self.next.push(Event::Expired { id });
+                self.next.push(Event::Withdrawn { id });
                 o.answer(Reply::Refused(Some(Duration::from_secs(1))));
             }
             for (endpoint, members) in calls {
@@ -648,7 +648,7 @@
         for (id, o) in offered {
             if !o.answer(Reply::TakenOn) {
                 // The client has left without its answer: it may hand the message in again elsewhere.
-                self.next.push(Event::Expired { id });
+                self.next.push(Event::Withdrawn { id });
                 self.forget(id);
                 self.owe(vec![Record::Ended(id)]);
             }
@@ -698,7 +698,7 @@
         tracing::debug!(id, trace = taken.trace, class = taken.class, dest, ms = left / MS, attempts, "held");
         self.traces.insert(taken.trace.clone(), id);
         self.held.insert(id, Held { taken, end, attempts });
-        Message { id, class, dest, left, cost: 0, key: None, tenant }
+        Message { id, class, dest, time_left: left, cost: 0, key: None, tenant }
     }
 
     fn notify(&mut self, taken: &Taken, ending: Ending) {
--- a/src/bin/sender/directory.rs
+++ b/src/bin/sender/directory.rs
@@ -1,9 +1,9 @@
 //! What is listed, for the policy, for calls and for operators: the snapshot in force, in the settings' numbers.
 use catalogue::{Catalogue, Lifecycle};
-use sender::api::{DestId, EndpointId, Entry, Kind};
-use sender::listed::{Listed, Words};
+use sender::api::{DestId, EndpointId, EndpointKind, Entry};
+use sender::listed::{CatalogueDirectory, SettingsNames};
 use sender::on_demand;
-use sender::settings::Around;
+use sender::settings::ProgramSettings;
 use std::cell::{Cell, Ref, RefCell};
 use std::net::SocketAddr;
 
@@ -21,17 +21,17 @@
 pub struct Directory {
     catalogue: RefCell<Catalogue>,
     has_list: Cell<bool>,
-    words: Words,
+    words: SettingsNames,
     /// Properties by kind.
-    properties: Vec<Kind>,
+    properties: Vec<EndpointKind>,
 }
 
 impl Directory {
-    pub fn new(around: &Around, kinds: &[Kind]) -> Directory {
+    pub fn new(around: &ProgramSettings, kinds: &[EndpointKind]) -> Directory {
         Directory {
             catalogue: RefCell::default(),
             has_list: Cell::default(),
-            words: Words { kinds: around.kinds.clone(), zones: around.zones.clone() },
+            words: SettingsNames { kinds: around.kinds.clone(), zones: around.zones.clone() },
             properties: kinds.to_vec(),
         }
     }
@@ -70,7 +70,7 @@
     pub fn batch(&self, endpoint: EndpointId) -> usize {
         let catalogue = self.catalogue.borrow();
         let kind = catalogue.get(endpoint).and_then(|e| self.kind(e.machine_type));
-        kind.map_or(1, |kind| self.properties[kind].batch.max(1))
+        kind.map_or(1, |kind| self.properties[kind].max_batch.max(1))
     }
 
     /// The number of a machine type that the settings know.
@@ -81,10 +81,10 @@
 
 impl on_demand::Directory for Directory {
     fn entry(&self, endpoint: EndpointId) -> Option<Entry> {
-        Listed { catalogue: &self.catalogue(), words: &self.words }.entry(endpoint)
+        CatalogueDirectory { catalogue: &self.catalogue(), names: &self.words }.entry(endpoint)
     }
 
     fn endpoints_of(&self, destination: DestId) -> Vec<EndpointId> {
-        Listed { catalogue: &self.catalogue(), words: &self.words }.endpoints_of(destination)
+        CatalogueDirectory { catalogue: &self.catalogue(), names: &self.words }.endpoints_of(destination)
     }
 }
--- a/src/bin/sender/handover.rs
+++ b/src/bin/sender/handover.rs
@@ -19,7 +19,7 @@
 };
 use sender::api::{AttemptEnd, Outcome};
 use sender::records::Taken;
-use sender::settings::Around;
+use sender::settings::ProgramSettings;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
@@ -213,7 +213,10 @@
 
 /// The right to the journal, from a process that runs if there is one. Waits for as long as that one neither
 /// hands over nor ends.
-pub async fn claim(folder: &Path, around: &Around) -> io::Result<(Owner, Option<(Box<State>, Predecessor)>)> {
+pub async fn claim(
+    folder: &Path,
+    around: &ProgramSettings,
+) -> io::Result<(Owner, Option<(Box<State>, Predecessor)>)> {
     let mut told = false;
     // A process of the version before lets go of who asks for a form that it does not know.
     let mut versions = [VERSION, VERSION_BEFORE].into_iter().cycle();
@@ -241,7 +244,7 @@
     }
 }
 
-async fn ask(folder: &Path, version: u32, around: &Around) -> io::Result<(Box<State>, Predecessor)> {
+async fn ask(folder: &Path, version: u32, around: &ProgramSettings) -> io::Result<(Box<State>, Predecessor)> {
     let door = Door::new(folder)?;
     let (mut reader, writer) = link(UnixStream::connect(&door.path).await?);
     writer.send(&Frame::Ask { version }, None).await?;
--- a/src/bin/sender/input.rs
+++ b/src/bin/sender/input.rs
@@ -1,7 +1,7 @@
 //! What the core is told, and the answers that it gives.
 use crate::process_state::State;
 use catalogue::intake;
-use sender::api::{AttemptEnd, EndpointId, Outcome, Report};
+use sender::api::{AttemptEnd, EndpointId, LimitReport, Outcome};
 use sender::records::Taken;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -49,7 +49,7 @@
     Probed {
         endpoint: EndpointId,
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LimitReport>,
     },
     /// The platform has answered for these notices.
     Noticed(Vec<u64>),
--- a/src/bin/sender/learned/tests.rs
+++ b/src/bin/sender/learned/tests.rs
@@ -13,7 +13,7 @@
         kept.numbers.endpoints.iter().map(|(number, name)| (*number, name.as_str())).collect();
     assert_eq!(names, [(0, "e-1"), (1, "e-2"), (2, "e-3"), (3, "e-4")]);
     assert_eq!(kept.numbers.next_id, 4);
-    assert!(kept.module.knows(7) && kept.module.knows_endpoint(0));
+    assert!(kept.module.knows_destination(7) && kept.module.knows_endpoint(0));
 }
 
 #[test]
--- a/src/bin/sender/main.rs
+++ b/src/bin/sender/main.rs
@@ -149,7 +149,7 @@
     };
     let journal = journal::Journal::open(owner, &how)
         .map_err(|e| format!("journal in {}: {e}", config.state.display()))?;
-    let maint = maint::Maint::open(&config.state, config.settings.cold / MS)
+    let maint = maint::Maint::open(&config.state, config.settings.slow_start_window / MS)
         .map_err(|e| format!("endpoints taken out in {}: {e}", config.state.display()))?;
     let (core_in, inbox) = mpsc::channel(INBOX);
     let (notices_in, notices) = mpsc::unbounded_channel();
@@ -160,10 +160,10 @@
         config.limits.sockets.saturating_sub(OWN_SOCKETS + if config.control.is_some() { ASKS } else { 0 });
     let calls = (settings.slots * 2 + 32).max(sockets / 4).min(sockets * 3 / 8);
     let directory = Rc::new(directory::Directory::new(&config.around, &settings.kinds));
-    let (dial, idle) = (settings.dial_timeout, settings.idle_close);
+    let (dial, idle) = (settings.connect_timeout, settings.idle_timeout);
     let client = Rc::new(client::Client::new(core_in.clone(), directory.clone(), dial, idle, calls));
     spawn_local(client.clone().keep_pool());
-    let backoff = discovery::Backoff::new(settings.n_instances, config.seed);
+    let backoff = discovery::Backoff::new(settings.sender_count, config.seed);
     let (move_to, discovery) = watch::channel(config.discovery);
     let noticing = spawn_local(notices::run(discovery.clone(), notices, core_in.clone()));
     let move_to = Rc::new(move_to);
--- a/src/bin/sender/process_state_v1/tests.rs
+++ b/src/bin/sender/process_state_v1/tests.rs
@@ -26,6 +26,6 @@
     assert_eq!((by_name("e-1").machine_type.as_str(), by_name("e-4").destination), ("plain", u64::MAX));
     // The one that was draining keeps its number, and no other name gets it.
     assert_eq!((state.numbered.next_id, state.numbered.generation), (4, None));
-    let module = state.module.taken_over(Settings::default());
-    assert!(module.knows(7) && module.knows(8) && module.knows_endpoint(endpoint));
+    let module = state.module.after_handover(Settings::default());
+    assert!(module.knows_destination(7) && module.knows_destination(8) && module.knows_endpoint(endpoint));
 }
--- a/src/bin/sender/server.rs
+++ b/src/bin/sender/server.rs
@@ -14,7 +14,7 @@
 use percent_encoding::percent_decode_str;
 use sender::api::Effect;
 use sender::records::{wall_ms, Taken};
-use sender::settings::Around;
+use sender::settings::ProgramSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -184,7 +184,7 @@
 pub struct Server {
     pub core: mpsc::Sender<Input>,
     directory: Rc<Directory>,
-    pub around: Around,
+    pub around: ProgramSettings,
     pub effects: Vec<Effect>,
     /// Most connections that are served.
     pub most: usize,
@@ -202,7 +202,7 @@
 impl Server {
     pub fn new(
         (core, directory): (mpsc::Sender<Input>, Rc<Directory>),
-        around: Around,
+        around: ProgramSettings,
         effects: Vec<Effect>,
         (most, turned_away): (usize, usize),
         phase: watch::Receiver<Phase>,
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -3,7 +3,7 @@
 use sender::api::*;
 use sender::on_demand::OnDemandList;
 use sender::policy::Sender;
-use sender::settings::{self, Around};
+use sender::settings::{self, ProgramSettings};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
     sender: Sender,
     listed: Listed,
     on_demand: OnDemandList,
-    around: Around,
+    around: ProgramSettings,
     events: Vec<Event>,
     endpoints: HashMap<String, EndpointId>,
     endpoint_names: Vec<String>,
@@ -169,7 +169,7 @@
             let events = std::mem::take(&mut instance.events);
             self.actions.clear();
             instance.sender.handle(now, &events, &mut self.actions);
-            instance.on_demand.handled();
+            instance.on_demand.events_handled();
             if !self.actions.is_empty() {
                 let _ = writeln!(reply, "AT\tSender={number}");
                 for action in &self.actions {
@@ -182,7 +182,7 @@
 }
 
 impl Instance {
-    fn new(sender: Sender, around: Around) -> Instance {
+    fn new(sender: Sender, around: ProgramSettings) -> Instance {
         Instance {
             sender,
             listed: Listed::default(),
@@ -217,7 +217,7 @@
                     id: self.next_id,
                     class: f.parse("Cls")?,
                     dest: f.parse("ToExchange")?,
-                    left: f.parse("TimeLeftNs")?,
+                    time_left: f.parse("TimeLeftNs")?,
                     cost: f.parse_or("CostNs", 0)?,
                     key: if f.find("PartitionKey").is_some() { Some(f.parse("PartitionKey")?) } else { None },
                     tenant: f.parse_or("UserGroup", 0)?,
@@ -232,7 +232,7 @@
             "ELAPSED" => self.events.push(Event::Timer),
             "EXPIRED" => {
                 if let Some(&id) = self.ids.get(f.text("Ref")?) {
-                    self.events.push(Event::Expired { id });
+                    self.events.push(Event::Withdrawn { id });
                     self.end(id);
                 }
             }
@@ -254,7 +254,7 @@
                     outcome,
                     took: f.parse("WaitTimeNs")?,
                     done: f.parse_or::<u8>("DoneFlag", 0)? != 0,
-                    wait: if outcome == Outcome::TurnedAway { wait.saturating_mul(MS) } else { 0 },
+                    retry_after: if outcome == Outcome::TurnedAway { wait.saturating_mul(MS) } else { 0 },
                     report: self.report(f)?,
                 };
                 self.events.push(Event::AttemptEnd(end));
@@ -282,11 +282,11 @@
         }
         let (policy, listed) = (&self.sender, &self.listed);
         if whole {
-            self.on_demand.replaced(policy, listed, &mut self.events);
+            self.on_demand.directory_replaced(policy, listed, &mut self.events);
             // Lists are short here.
-            self.on_demand.catch_up(policy, listed, usize::MAX, &mut self.events);
+            self.on_demand.tell_pending(policy, listed, usize::MAX, &mut self.events);
         } else {
-            self.on_demand.changed(policy, listed, &changed, &mut self.events);
+            self.on_demand.endpoints_changed(policy, listed, &changed, &mut self.events);
         }
     }
 
@@ -300,7 +300,7 @@
         id
     }
 
-    fn report(&self, f: &Fields) -> Result<Option<Report>, String> {
+    fn report(&self, f: &Fields) -> Result<Option<LimitReport>, String> {
         let Some(text) = f.find("Metrics") else {
             return Ok(None);
         };
@@ -310,9 +310,11 @@
             row.push(value.map_err(|_| format!("{} field Metrics is malformed: {}", f.verb, shorten(text)))?);
         }
         let at = |column: Option<usize>| column.and_then(|c| row.get(c)).copied();
-        Ok(match (at(self.around.x0), at(self.around.x1)) {
+        Ok(match (at(self.around.remaining_column), at(self.around.limit_column)) {
             (None, None) => None,
-            (left, limit) => Some(Report { left: left.unwrap_or(0.0), limit: limit.unwrap_or(0.0) }),
+            (left, limit) => {
+                Some(LimitReport { remaining: left.unwrap_or(0.0), limit: limit.unwrap_or(0.0) })
+            }
         })
     }
 
@@ -381,7 +383,7 @@
         kind: f.parse_or("Shape", 0)?,
         zone: f.parse_or("FailureDomain", 0)?,
         condition,
-        hint: f.parse_or("PowerHint", 0.0)?,
+        rate_hint: f.parse_or("PowerHint", 0.0)?,
     };
     Ok(WireEntry { name: f.text("Endpoint")?.to_string(), entry })
 }
--- a/src/listed.rs
+++ b/src/listed.rs
@@ -6,16 +6,16 @@
 
 /// The words that the settings number, each at its number.
 #[derive(Clone, Debug, Default)]
-pub struct Words {
+pub struct SettingsNames {
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
 }
 
 /// A snapshot with the settings' words.
 #[derive(Clone, Copy)]
-pub struct Listed<'a> {
+pub struct CatalogueDirectory<'a> {
     pub catalogue: &'a Catalogue,
-    pub words: &'a Words,
+    pub names: &'a SettingsNames,
 }
 
 /// What the settings don't know has no number of theirs.
@@ -23,7 +23,7 @@
     words.iter().position(|known| known == word).unwrap_or(usize::MAX)
 }
 
-impl Directory for Listed<'_> {
+impl Directory for CatalogueDirectory<'_> {
     fn entry(&self, endpoint: EndpointId) -> Option<Entry> {
         let listed = self.catalogue.get(endpoint)?;
         let condition = match listed.lifecycle {
@@ -33,10 +33,10 @@
         Some(Entry {
             endpoint,
             dest: listed.destination,
-            kind: number(&self.words.kinds, listed.machine_type),
-            zone: number(&self.words.zones, listed.zone),
+            kind: number(&self.names.kinds, listed.machine_type),
+            zone: number(&self.names.zones, listed.zone),
             condition,
-            hint: listed.weight,
+            rate_hint: listed.weight,
         })
     }
 
--- a/src/on_demand.rs
+++ b/src/on_demand.rs
@@ -10,7 +10,7 @@
 
 impl Sender {
     /// Whether it holds state for a destination: changes of the list that concern it have to be told.
-    pub fn knows(&self, destination: DestId) -> bool {
+    pub fn knows_destination(&self, destination: DestId) -> bool {
         self.dests.contains_key(&destination)
     }
 
@@ -43,7 +43,7 @@
     fn ready_entry(&self, endpoint: EndpointId) -> Option<Entry> {
         let known = self.endpoints.get(&endpoint).filter(|e| e.listed)?;
         let (dest, kind, zone) = (known.dest, known.kind, known.zone);
-        Some(Entry { endpoint, dest, kind, zone, condition: Condition::Ready, hint: 0.0 })
+        Some(Entry { endpoint, dest, kind, zone, condition: Condition::Ready, rate_hint: 0.0 })
     }
 }
 
@@ -81,7 +81,7 @@
         if self.behind.remove(&destination) {
             self.tell(policy, directory, &[destination], events);
         }
-        if !self.awaited.insert(destination) || policy.knows(destination) {
+        if !self.awaited.insert(destination) || policy.knows_destination(destination) {
             return;
         }
         let entries = entries_of(directory, destination);
@@ -92,7 +92,7 @@
     }
 
     /// To be called after `endpoints` have changed in the directory, those that left it included.
-    pub fn changed(
+    pub fn endpoints_changed(
         &mut self,
         policy: &Sender,
         directory: &impl Directory,
@@ -108,8 +108,13 @@
     }
 
     /// To be called after the whole directory was replaced, also by the first one. Where the policy knows many
-    /// destinations it is told of those with work; for the others there is [`OnDemandList::catch_up`].
-    pub fn replaced(&mut self, policy: &Sender, directory: &impl Directory, events: &mut Vec<Event>) {
+    /// destinations it is told of those with work; for the others there is [`OnDemandList::tell_pending`].
+    pub fn directory_replaced(
+        &mut self,
+        policy: &Sender,
+        directory: &impl Directory,
+        events: &mut Vec<Event>,
+    ) {
         self.behind.clear();
         let known: BTreeSet<DestId> =
             policy.known_destinations().chain(self.awaited.iter().copied()).collect();
@@ -125,17 +130,17 @@
         self.behind = behind.into_iter().collect();
         // What the policy is told ahead of this, in events that it has not handled, may have left the directory.
         let told: Vec<EndpointId> = self.told.keys().copied().collect();
-        self.changed(policy, directory, &told, events);
+        self.endpoints_changed(policy, directory, &told, events);
         self.tell(policy, directory, &working, events);
     }
 
     /// Whether destinations are still to be told of.
-    pub fn is_behind(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.behind.is_empty()
     }
 
     /// Tells the policy of up to `most` further destinations of a replaced directory.
-    pub fn catch_up(
+    pub fn tell_pending(
         &mut self,
         policy: &Sender,
         directory: &impl Directory,
@@ -162,18 +167,19 @@
         }
         endpoints.sort_unstable();
         endpoints.dedup();
-        self.changed(policy, directory, &endpoints, events);
+        self.endpoints_changed(policy, directory, &endpoints, events);
     }
 
     /// To be called once the policy has handled the events.
-    pub fn handled(&mut self) {
+    pub fn events_handled(&mut self) {
         self.awaited.clear();
         self.told.clear();
     }
 
     /// What the policy needs to be told of a changed endpoint, if anything.
     fn change(&self, policy: &Sender, directory: &impl Directory, endpoint: EndpointId) -> Option<Entry> {
-        let known = |entry: &Entry| policy.knows(entry.dest) || self.awaited.contains(&entry.dest);
+        let known =
+            |entry: &Entry| policy.knows_destination(entry.dest) || self.awaited.contains(&entry.dest);
         directory.entry(endpoint).filter(known).or_else(|| {
             // It left the list, or moved to a destination that needs no state: it is gone where it was.
             let told = self.told.get(&endpoint).copied().or_else(|| policy.ready_entry(endpoint))?;
--- a/src/policy/caps.rs
+++ b/src/policy/caps.rs
@@ -11,7 +11,7 @@
 
 /// How long a call may be out before it is overdue.
 pub(super) fn patience(cfg: &Settings, dest: &Dest, now: Ns) -> Ns {
-    let aim = cfg.classes.iter().map(|c| c.aim).max().unwrap_or(SECOND).max(LEAST_PATIENCE);
+    let aim = cfg.classes.iter().map(|c| c.latency_target).max().unwrap_or(SECOND).max(LEAST_PATIENCE);
     if dest.latency.aged(now) < MEASURED {
         return aim;
     }
@@ -29,7 +29,7 @@
         for (level, score) in scores.iter_mut().enumerate().skip(1) {
             // An unmeasured level borrows the nearest; an unmeasured class just meets its aim at the cap.
             let meets = match measured.iter().min_by_key(|((_, l), _)| (l.abs_diff(level), *l)) {
-                Some((_, nearest)) => nearest.bound(1.0) < settings.aim as f64,
+                Some((_, nearest)) => nearest.bound(1.0) < settings.latency_target as f64,
                 None => level <= dest.cap,
             };
             if meets {
--- a/src/policy/listed.rs
+++ b/src/policy/listed.rs
@@ -25,7 +25,7 @@
         ids.iter().for_each(|&id| self.forget(id));
         self.forgetting = ids.get(FORGET_AT_ONCE - 1).and_then(|last| last.checked_add(1));
         let None = self.forgetting else { return };
-        let (now, cold, dests) = (self.now, self.cfg.cold, &self.dests);
+        let (now, cold, dests) = (self.now, self.cfg.slow_start_window, &self.dests);
         let places = |id: DestId| dests.get(&id).map_or(&[][..], |dest| &dest.places);
         self.endpoints.retain(|id, e| places(e.dest).binary_search(id).is_ok() || e.is_needed(now, cold));
         self.routes.retain(|&(dest, id), r| {
@@ -39,7 +39,7 @@
     }
 
     fn forget(&mut self, id: DestId) {
-        let (now, cold, active) = (self.now, self.cfg.cold, self.active.contains(&id));
+        let (now, cold, active) = (self.now, self.cfg.slow_start_window, self.active.contains(&id));
         let restrains = self.restrains(id, &self.dests[&id]);
         let dest = self.dests.get_mut(&id).expect("looked up above");
         let unused = !active && !restrains && Some((dest.used_at, id)) <= self.unused_to;
@@ -65,7 +65,7 @@
     /// Whether what is known of a destination still holds calls to it back. An ordering key's rest is kept by
     /// the key, and a repeat window with its message.
     fn restrains(&self, id: DestId, dest: &Dest) -> bool {
-        let (now, cold) = (self.now, self.cfg.cold);
+        let (now, cold) = (self.now, self.cfg.slow_start_window);
         let waits = |r: &Route| r.wait_until.max(r.not_before) > now;
         let route = |r: &Route| r.doubt || waits(r) || (r.cold && now - r.back_at <= cold);
         let needed = |e: &EndpointId| self.endpoints.get(e).is_some_and(|e| e.is_needed(now, cold));
@@ -99,7 +99,7 @@
             known.usable = known.listed && !self.maint.contains(&entry.endpoint);
             let id = self.route_of(entry.endpoint);
             let route = self.routes.entry(id).or_insert_with(|| Route {
-                share: 1.0 / self.cfg.n_instances.clamp(1, FEW) as f64,
+                share: 1.0 / self.cfg.sender_count.clamp(1, FEW) as f64,
                 share_at: since,
                 tokens: 1.0,
                 filled_at: since,
@@ -109,9 +109,9 @@
             });
             // What is gone tells nothing of its neighbours' limit.
             if entry.condition != Condition::Gone {
-                let trust = if self.cfg.rough_hints { ROUGH } else { 1.0 };
-                let told = self.cfg.hints && entry.hint.is_finite();
-                route.hint = if told { entry.hint.max(0.0) * trust } else { 0.0 };
+                let trust = if self.cfg.rough_rate_hints { ROUGH } else { 1.0 };
+                let told = self.cfg.rate_hints && entry.rate_hint.is_finite();
+                route.hint = if told { entry.rate_hint.max(0.0) * trust } else { 0.0 };
             }
             let dest = self.dest(entry.dest);
             if let Err(at) = dest.places.binary_search(&entry.endpoint) {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -226,14 +226,14 @@
 
     /// Goes on with what another process decided under the same settings; the clock must go on too. No timer
     /// is asked for any more.
-    pub fn taken_over(self, cfg: Settings) -> Sender {
+    pub fn after_handover(self, cfg: Settings) -> Sender {
         // Versions before this one did not keep their seed.
         let seed = if self.seed == 0 { self.random } else { self.seed };
         Sender { cfg, seed, timer_at: None, ..self }
     }
 
     /// What it has learned, without the messages and calls of this process.
-    pub fn learned<T>(&mut self, keep: impl FnOnce(&Sender) -> T) -> T {
+    pub fn without_work<T>(&mut self, keep: impl FnOnce(&Sender) -> T) -> T {
         let work = (take(&mut self.messages), take(&mut self.calls), take(&mut self.keys));
         let kept = keep(self);
         (self.messages, self.calls, self.keys) = work;
@@ -242,7 +242,7 @@
 
     /// Goes on with what a process had learned that was killed since: nothing of its work is out or held,
     /// its connections are gone, and a told wait ends with a restart. A cold return under way goes on.
-    pub fn restarted(self, cfg: Settings, seed: u64) -> Sender {
+    pub fn after_restart(self, cfg: Settings, seed: u64) -> Sender {
         let mut new =
             Sender { cfg, seed, random: seed, timer_at: None, next_end: Ns::MAX, open: 0, trials: 0, ..self };
         new.endpoints.values_mut().for_each(|e| (e.in_flight, e.warm) = (0, 0));
@@ -269,7 +269,7 @@
                 Event::Maint { endpoint, out, at } => self.maint(*endpoint, *out, *at),
                 Event::Resumed { message, past } => self.resume(*message, past, out),
                 Event::AttemptEnd(e) => self.attempt_end(e, out),
-                Event::Expired { id } => self.close(*id),
+                Event::Withdrawn { id } => self.close(*id),
                 Event::Probed { .. } => {}
                 // The caller may round a time down: one that is due within the tick has come.
                 Event::Timer => self.timer_at = self.timer_at.filter(|&at| at > self.now + self.cfg.tick),
@@ -313,14 +313,14 @@
         let mut ended = std::mem::take(&mut self.ended);
         ended.sort_unstable();
         ended.dedup();
-        let brief = 3 * self.cfg.idle_close / self.cfg.n_instances.max(3) as Ns;
+        let brief = 3 * self.cfg.idle_timeout / self.cfg.sender_count.max(3) as Ns;
         for id in ended {
             let Some(place) = self.endpoints.get_mut(&id) else { continue };
             // One each of a large fleet may be more than an endpoint takes, which turns calls away then.
-            let scarce = self.cfg.n_instances > FEW
+            let scarce = self.cfg.sender_count > FEW
                 || self.scarce_at.get(&place.kind).is_some_and(|&at| self.now - at < SCARCE);
             if scarce && place.gap >= brief {
-                place.warm = place.in_flight.div_ceil(self.cfg.streams_per_conn);
+                place.warm = place.in_flight.div_ceil(self.cfg.streams_per_connection);
                 out.push(Action::Close { endpoint: id });
             }
         }
@@ -378,7 +378,7 @@
         }
         let now = self.now;
         let class = &self.cfg.classes[message.class];
-        let left = message.left.clamp(0, class.deadline);
+        let left = message.time_left.clamp(0, class.deadline);
         let (born, end) = (now - (class.deadline - left), now + left);
         let held = Held { message, arrived: now, born, end, attempts: Vec::new(), over: false };
         if let (true, Some(key)) = (class.in_order, message.key) {
@@ -408,7 +408,7 @@
         }));
         let class = &self.cfg.classes[message.class];
         if let (true, Some(key), true) = (class.in_order, message.key, past.iter().any(|p| p.may_have_run)) {
-            self.keys.entry(key).or_default().rest_until = self.now + self.cfg.key_rest;
+            self.keys.entry(key).or_default().rest_until = self.now + self.cfg.key_quiet_period;
         }
         self.end_if_hopeless(message.id, out);
     }
@@ -423,7 +423,7 @@
         let class = &self.cfg.classes[message.class];
         if let (true, true, Some(key)) = (class.in_order, e.outcome.may_still_run(), message.key) {
             if let Some(turn) = self.keys.get_mut(&key) {
-                turn.rest_until = now + self.cfg.key_rest;
+                turn.rest_until = now + self.cfg.key_quiet_period;
             }
         }
         if let Some(call) = self.calls.get_mut(&call_id) {
@@ -433,8 +433,8 @@
             let dest = self.dests.get_mut(&call.dest).expect("a call's destination is known");
             // Quick errors would read as quick answers: all but a served call books the full aim, so that a
             // class misses there once about half of its calls fail.
-            let took = if e.outcome == Outcome::Served { e.took.max(0) } else { class.aim };
-            if e.outcome.tells_latency() {
+            let took = if e.outcome == Outcome::Served { e.took.max(0) } else { class.latency_target };
+            if e.outcome.measures_latency() {
                 dest.cells.book((message.class, level), now, took as f64);
             }
             if e.outcome == Outcome::Served {
@@ -461,8 +461,8 @@
             if let Some(route) = self.routes.get_mut(&route_id) {
                 route.in_flight -= last as usize;
                 // Members of one call may come back in several batches, and a wait runs from each of these.
-                if e.wait > 0 {
-                    route.wait_until = route.wait_until.max(now.saturating_add(e.wait));
+                if e.retry_after > 0 {
+                    route.wait_until = route.wait_until.max(now.saturating_add(e.retry_after));
                 }
             }
             if let Some(place) = self.endpoints.get_mut(&e.endpoint).filter(|_| last) {
@@ -511,7 +511,7 @@
     fn judge(&mut self, e: &AttemptEnd, route_id: RouteId, overdue: bool) {
         let now = self.now;
         let jitter = 0.5 + self.random();
-        let n = self.cfg.n_instances.max(1) as f64;
+        let n = self.cfg.sender_count.max(1) as f64;
         let stale = stale(&self.cfg);
         let Some(route) = self.routes.get_mut(&route_id) else { return };
         let Some(place) = self.endpoints.get_mut(&e.endpoint) else { return };
@@ -522,7 +522,7 @@
                     Some(old) if old > 0.0 && report.limit > 0.0 => old + 0.3 * (report.limit - old),
                     _ => report.limit,
                 });
-                left = (report.limit > 0.0).then_some(report.left);
+                left = (report.limit > 0.0).then_some(report.remaining);
             }
         }
         // An outage is no use: what was usual before it tells what the destination can do after it.
@@ -568,7 +568,7 @@
                 let fresh = route.step_down(now, now - e.took, again, n, stale);
                 route.refusals += u32::from(fresh);
                 // Shut: what was refused tells nothing of the limit.
-                let shut = e.wait >= SHUT_WAIT || route.refusals >= SHUT_RUN;
+                let shut = e.retry_after >= SHUT_WAIT || route.refusals >= SHUT_RUN;
                 if shut {
                     route.share = route.share_before;
                 }
@@ -614,7 +614,7 @@
     /// trials, and once one was `told` by an outcome a ramp. An overdue call then served was slow.
     /// Should cover kinds not listed too; harms where errors are common but the rest is well.
     fn symptom(&mut self, id: RouteId, counts: bool, told: bool) {
-        let n = self.cfg.n_instances.max(1) as f64;
+        let n = self.cfg.sender_count.max(1) as f64;
         let Some(route) = self.routes.get_mut(&id) else { return };
         if counts {
             route.failures += 1;
@@ -625,13 +625,13 @@
         // Single failures on the way up are no outage: were each to start the ramp anew, a route that loses
         // one call in twenty would never be warm again.
         // What is left of another life has waited, and was perhaps refused or lost there.
-        let one_of_many = route.told() <= 0.0 && self.cfg.n_instances > FEW;
+        let one_of_many = route.told() <= 0.0 && self.cfg.sender_count > FEW;
         let ill = (one_of_many || route.inherited) && route.failures >= ILL;
         if told && (sick || ill) {
             if !route.cold {
                 let stale = stale(&self.cfg);
                 // After an outage every sender has work that waited.
-                if self.cfg.n_instances > FEW {
+                if self.cfg.sender_count > FEW {
                     (route.share, route.share_at) = (route.share_now(self.now, stale).min(1.0 / n), self.now);
                 }
                 route.learn(self.now, stale, route.usual.rate().max(LEAST / n));
@@ -667,18 +667,18 @@
     fn ramp(&self, route: &Route) -> f64 {
         // Where nobody tells a limit, what it was just seen to serve it can do.
         let proven = if route.told() > 0.0 { 0.0 } else { per_second(route.served.aged(self.now)) };
-        self.ramp_since(route, route.back_at).max(MARGIN * self.cfg.fall_multiple * proven)
+        self.ramp_since(route, route.back_at).max(MARGIN * self.cfg.overload_factor * proven)
     }
 
     fn ramp_since(&self, route: &Route, since: Ns) -> f64 {
         let c = &self.cfg;
-        let n = c.n_instances.max(1) as f64;
+        let n = c.sender_count.max(1) as f64;
         let told = route.told();
         let spare = if route.partial { SPARE_PARTIAL } else { SPARE };
         let part = if told > 0.0 { told / n } else { (spare * route.usual.rate()).max(1.0 / n) };
-        let warm = ((self.now - since) as f64 / c.cold.max(1) as f64).clamp(0.0, 1.0);
-        let now_able = c.start_capacity + (1.0 - c.start_capacity) * warm;
-        (MARGIN * c.fall_multiple * now_able * part).max(LEAST / n)
+        let warm = ((self.now - since) as f64 / c.slow_start_window.max(1) as f64).clamp(0.0, 1.0);
+        let now_able = c.slow_start_capacity + (1.0 - c.slow_start_capacity) * warm;
+        (MARGIN * c.overload_factor * now_able * part).max(LEAST / n)
     }
 
     /// When an endpoint that operators have put back may next be called while it is cold: from then on its
@@ -693,7 +693,7 @@
         let parts =
             if shared { self.dests[&place.dest].places.iter().filter(usable).count().max(1) } else { 1 };
         let rate = self.ramp_since(&self.routes[&route], back) / parts as f64;
-        let cold = self.cfg.cold;
+        let cold = self.cfg.slow_start_window;
         let place = self.endpoints.get_mut(&id).expect("looked up above");
         if now - back > cold {
             place.back_at = None;
@@ -712,7 +712,7 @@
         }
         let (ramp, stale) = (self.ramp(route), stale(&self.cfg));
         let route = self.routes.get_mut(&id).expect("looked up above");
-        if route.cold && !route.doubt && now - route.back_at > self.cfg.cold {
+        if route.cold && !route.doubt && now - route.back_at > self.cfg.slow_start_window {
             route.cold = false;
         }
         if route.doubt {
@@ -746,14 +746,14 @@
             Effect::Safe => true,
             Effect::Unsafe => false,
             Effect::Keyed => match to {
-                None => class.scope == DedupScope::All,
+                None => class.dedup_scope == DedupScope::All,
                 Some(to) => may_have_run.all(|a| {
-                    let same = match class.scope {
+                    let same = match class.dedup_scope {
                         DedupScope::All => true,
                         DedupScope::Zone => self.endpoints.get(&to).is_some_and(|p| p.zone == a.zone),
                         DedupScope::Endpoint => a.endpoint == to,
                     };
-                    same && self.now + self.cfg.tick < a.sent.saturating_add(class.window)
+                    same && self.now + self.cfg.tick < a.sent.saturating_add(class.dedup_window)
                 }),
             },
         }
@@ -773,13 +773,14 @@
     /// Worth of a message if it were delivered at a time.
     fn worth(&self, held: &Held, at: Ns) -> f64 {
         let c = &self.cfg.classes[held.message.class];
-        let aim = (c.aim as f64 + c.aim_stretch * held.message.cost as f64).min(c.deadline as f64);
+        let aim = (c.latency_target as f64 + c.latency_target_per_cost * held.message.cost as f64)
+            .min(c.deadline as f64);
         let age = (at - held.born) as f64;
         let share = if at > held.end {
             0.0
         } else if age <= aim {
             1.0
-        } else if self.cfg.halves {
+        } else if self.cfg.exponential_decay {
             (-((age - aim) / aim)).exp2().max(c.late_worth)
         } else {
             1.0 - (1.0 - c.late_worth) * (age - aim) / (c.deadline as f64 - aim).max(1.0)
@@ -846,7 +847,7 @@
         let first = held.attempts.iter().find(|a| a.may_have_run).map_or(self.now, |a| a.sent);
         match class.effect {
             Effect::Safe => held.end,
-            Effect::Keyed => held.end.min(first.saturating_add(class.window)),
+            Effect::Keyed => held.end.min(first.saturating_add(class.dedup_window)),
             Effect::Unsafe => Ns::MIN,
         }
     }
@@ -876,8 +877,8 @@
                 continue;
             }
             let e = &self.endpoints[&place];
-            let warm = if now - e.used_at < self.cfg.idle_close { e.warm } else { e.in_flight };
-            let cold_conn = e.in_flight >= warm * self.cfg.streams_per_conn;
+            let warm = if now - e.used_at < self.cfg.idle_timeout { e.warm } else { e.in_flight };
+            let cold_conn = e.in_flight >= warm * self.cfg.streams_per_connection;
             let far = e.zone != self.cfg.zone;
             let key = (e.avoid_until > now, far, cold_conn, e.in_flight, e.lot, place);
             best = Some(best.map_or(key, |b| b.min(key)));
@@ -887,7 +888,7 @@
         let route = &self.routes[&self.route_of(place)];
         // What going last instead of now would cost: in a short queue little but to the oldest, in a long one
         // all, so that fresh work goes first and late work takes what is left over.
-        let batch = self.cfg.kinds.get(self.endpoints[&place].kind).map_or(1, |k| k.batch.max(1));
+        let batch = self.cfg.kinds.get(self.endpoints[&place].kind).map_or(1, |k| k.max_batch.max(1));
         let drain = (dest.held.len() as f64 * dest.turn_every(now)) as Ns;
         let drain = drain.clamp(SECOND, 30 * SECOND);
         let latency = dest.latency.mean() as Ns;
@@ -924,12 +925,12 @@
         route.in_flight += 1;
         route.sent.book(now);
         route.tokens -= 1.0;
-        route.next_trial = now + wait.clamp(500 * MS, SECOND * self.cfg.n_instances.max(3) as Ns);
+        route.next_trial = now + wait.clamp(500 * MS, SECOND * self.cfg.sender_count.max(3) as Ns);
         let trial = route.doubt;
         self.trials += trial as usize;
         let place = self.endpoints.get_mut(&endpoint).expect("a candidate's endpoint is known");
         let zone = place.zone;
-        if now.saturating_sub(place.used_at) >= self.cfg.idle_close {
+        if now.saturating_sub(place.used_at) >= self.cfg.idle_timeout {
             place.warm = place.in_flight;
         }
         if place.back_at.is_some() {
@@ -937,7 +938,7 @@
         }
         place.in_flight += 1;
         place.used_at = now;
-        place.warm = place.warm.max(place.in_flight.div_ceil(self.cfg.streams_per_conn));
+        place.warm = place.warm.max(place.in_flight.div_ceil(self.cfg.streams_per_connection));
         let top = top(&self.cfg);
         let dest = self.dests.get_mut(&id).expect("a candidate's destination is known");
         dest.in_flight += 1;
@@ -968,7 +969,7 @@
     /// When a message's time left no longer covers a call.
     fn last_call(&self, held: &Held) -> Ns {
         let latency = self.dests[&held.message.dest].latency.mean() as Ns;
-        let aim = self.cfg.classes[held.message.class].aim;
+        let aim = self.cfg.classes[held.message.class].latency_target;
         held.end - (latency / 2).min(aim / 4).max(2 * self.cfg.tick)
     }
 
@@ -1051,5 +1052,5 @@
 /// For how long what was told of a limit holds: the shortest aim. A share that stays low for longer makes its
 /// messages late, one that does not stay low for as long has the limit used up by asking.
 fn stale(cfg: &Settings) -> Ns {
-    cfg.classes.iter().map(|c| c.aim).min().unwrap_or(SECOND).max(1)
+    cfg.classes.iter().map(|c| c.latency_target).min().unwrap_or(SECOND).max(1)
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -66,10 +66,10 @@
 
 /// What a program needs besides the module's settings.
 #[derive(Clone, Debug)]
-pub struct Around {
+pub struct ProgramSettings {
     /// Where x0 and x1 stand in a load report.
-    pub x0: Option<usize>,
-    pub x1: Option<usize>,
+    pub remaining_column: Option<usize>,
+    pub limit_column: Option<usize>,
     /// Names in the order of the module's numbers.
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
@@ -82,7 +82,7 @@
     items.iter().map(name).collect()
 }
 
-pub fn read(value: &Value) -> Result<(Settings, Around), String> {
+pub fn read(value: &Value) -> Result<(Settings, ProgramSettings), String> {
     let root = At { value, path: String::new() };
     if !value.is_object() {
         return Err("not an object".to_string());
@@ -99,20 +99,23 @@
             "unsafe" => Effect::Unsafe,
             _ => return c.get("Effect").fail("is none of safe, keyed, unsafe"),
         };
-        let scope = match c.get("DedupScope").word().unwrap_or("all") {
+        let dedup_scope = match c.get("DedupScope").word().unwrap_or("all") {
             "all" | "" => DedupScope::All,
             "zone" => DedupScope::Zone,
             _ => DedupScope::Endpoint,
         };
         let window = c.get("WindowNs");
         classes.push(Class {
-            aim: c.get("PromiseNs").number(1.0)? as Ns,
-            aim_stretch: c.get("AimStretch").number_or(0.0, 0.0)?,
+            latency_target: c.get("PromiseNs").number(1.0)? as Ns,
+            latency_target_per_cost: c.get("AimStretch").number_or(0.0, 0.0)?,
             deadline: c.get("DeadlineNs").number(1.0)? as Ns,
             effect,
-            scope,
-            window: if effect == Effect::Keyed { window.number(0.0)? } else { window.number_or(0.0, 0.0)? }
-                as Ns,
+            dedup_scope,
+            dedup_window: if effect == Effect::Keyed {
+                window.number(0.0)?
+            } else {
+                window.number_or(0.0, 0.0)?
+            } as Ns,
             worth: c.get("Worth").number_or(0.0, 1.0)?,
             late_worth: c.get("LateWorth").number_or(0.0, 0.0)?,
             in_order: c.get("SerialByKey").flag()?,
@@ -126,8 +129,8 @@
     let kinds = batches.len().max(separate.len()).max(root.get("Kinds").list()?.len());
     let kinds = (0..kinds)
         .map(|i| {
-            Ok(Kind {
-                batch: batches.get(i).map_or(Ok(1.0), |b| b.number(0.0))?.max(1.0) as usize,
+            Ok(EndpointKind {
+                max_batch: batches.get(i).map_or(Ok(1.0), |b| b.number(0.0))?.max(1.0) as usize,
                 separate_routes: separate.get(i).map_or(Ok(false), |s| s.flag())?,
             })
         })
@@ -145,9 +148,9 @@
         classes,
         kinds,
         tenants,
-        over_share_worth: root.get("OverShareWorth").number_or(0.0, 1.0)?,
-        halves: family.get("Decay").word().unwrap_or("line") == "halves",
-        n_instances: root.get("NInstances").number(1.0)? as usize,
+        over_quota_worth: root.get("OverShareWorth").number_or(0.0, 1.0)?,
+        exponential_decay: family.get("Decay").word().unwrap_or("line") == "halves",
+        sender_count: root.get("NInstances").number(1.0)? as usize,
         zone: root.get("Zone").number_or(0.0, 0.0)? as usize,
         tick: root.get("TickNs").number(0.0)? as Ns,
         slots: family.get("CallsOut").number(0.0)? as usize,
@@ -157,25 +160,25 @@
         may_duplicate: limits.get("MayDuplicate").flag()?,
         may_probe: limits.get("Probes").flag()?,
         may_cancel: limits.get("Cancel").flag()?,
-        streams_per_conn: limits.get("StreamsPerConn").number_or(0.0, 1.0)?.max(1.0) as usize,
-        idle_close: limits.get("IdleCloseNs").number_or(0.0, 0.0)? as Ns,
-        dial_timeout: limits.get("DialTimeoutNs").number_or(0.0, 0.0)? as Ns,
-        hints: matches!(weights, "nominal" | "rough"),
-        rough_hints: weights == "rough",
-        start_capacity: safety.get("StartCapacity").number(0.0)?,
-        cold: safety.get("ColdNs").number(0.0)? as Ns,
-        fall_multiple: safety.get("FallMultiple").number(0.0)?,
-        overload_for: safety.get("OverloadForNs").number(0.0)? as Ns,
-        key_rest: safety.get("KeyRestNs").number_or(0.0, 0.0)? as Ns,
+        streams_per_connection: limits.get("StreamsPerConn").number_or(0.0, 1.0)?.max(1.0) as usize,
+        idle_timeout: limits.get("IdleCloseNs").number_or(0.0, 0.0)? as Ns,
+        connect_timeout: limits.get("DialTimeoutNs").number_or(0.0, 0.0)? as Ns,
+        rate_hints: matches!(weights, "nominal" | "rough"),
+        rough_rate_hints: weights == "rough",
+        slow_start_capacity: safety.get("StartCapacity").number(0.0)?,
+        slow_start_window: safety.get("ColdNs").number(0.0)? as Ns,
+        overload_factor: safety.get("FallMultiple").number(0.0)?,
+        overload_duration: safety.get("OverloadForNs").number(0.0)? as Ns,
+        key_quiet_period: safety.get("KeyRestNs").number_or(0.0, 0.0)? as Ns,
         price_handshake: prices.get("Handshake").number_or(0.0, 0.0)?,
         price_cross_zone: prices.get("CrossZone").number_or(0.0, 0.0)?,
         price_refused: family.get("RefusalCost").number_or(0.0, 0.0)?,
         price_waste: prices.get("Waste").number_or(0.0, 0.0)?,
         route_fee: fees.iter().map(|f| f.number(0.0)).collect::<Result<Vec<_>, String>>()?,
     };
-    let around = Around {
-        x0: column("x0"),
-        x1: column("x1"),
+    let around = ProgramSettings {
+        remaining_column: column("x0"),
+        limit_column: column("x1"),
         classes: names(root.get("Services").list()?, Some("Name")),
         tenants: names(root.get("Realms").list()?, Some("Name")),
         kinds: names(root.get("Kinds").list()?, None),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,12 +7,12 @@
 
 pub fn class(effect: Effect) -> Class {
     Class {
-        aim: 2 * SECOND,
-        aim_stretch: 0.0,
+        latency_target: 2 * SECOND,
+        latency_target_per_cost: 0.0,
         deadline: 16 * SECOND,
         effect,
-        scope: DedupScope::All,
-        window: 4 * SECOND,
+        dedup_scope: DedupScope::All,
+        dedup_window: 4 * SECOND,
         worth: 1.0,
         late_worth: 0.3,
         in_order: false,
@@ -23,41 +23,41 @@
     Settings {
         classes: vec![class(Effect::Keyed), class(Effect::Safe), class(Effect::Unsafe)],
         kinds: vec![
-            Kind { batch: 1, separate_routes: false },
-            Kind { batch: 1, separate_routes: true },
-            Kind { batch: 5, separate_routes: false },
+            EndpointKind { max_batch: 1, separate_routes: false },
+            EndpointKind { max_batch: 1, separate_routes: true },
+            EndpointKind { max_batch: 5, separate_routes: false },
         ],
-        n_instances: 2,
+        sender_count: 2,
         tick: 5 * MS,
         slots: 12,
         max_open: 100,
         max_attempts: 8,
         may_cancel: true,
-        streams_per_conn: 1,
-        idle_close: 10 * SECOND,
-        dial_timeout: SECOND,
-        start_capacity: 0.2,
-        cold: 10 * SECOND,
-        fall_multiple: 2.0,
-        overload_for: 3 * SECOND,
-        key_rest: SECOND,
+        streams_per_connection: 1,
+        idle_timeout: 10 * SECOND,
+        connect_timeout: SECOND,
+        slow_start_capacity: 0.2,
+        slow_start_window: 10 * SECOND,
+        overload_factor: 2.0,
+        overload_duration: 3 * SECOND,
+        key_quiet_period: SECOND,
         ..Settings::default()
     }
 }
 
 pub fn entry(endpoint: EndpointId, dest: DestId, kind: usize) -> Entry {
-    Entry { endpoint, dest, kind, zone: 0, condition: Condition::Ready, hint: 0.0 }
+    Entry { endpoint, dest, kind, zone: 0, condition: Condition::Ready, rate_hint: 0.0 }
 }
 
 pub fn message(id: MsgId, dest: DestId, class: usize) -> Message {
-    let left = 16 * SECOND;
-    Message { id, class, dest, left, cost: 0, key: None, tenant: 0 }
+    let time_left = 16 * SECOND;
+    Message { id, class, dest, time_left, cost: 0, key: None, tenant: 0 }
 }
 
 pub fn end(id: MsgId, attempt: u32, endpoint: EndpointId, outcome: Outcome) -> AttemptEnd {
     let took = 100 * MS;
     let done = outcome == Outcome::Served;
-    AttemptEnd { id, attempt, endpoint, outcome, took, done, wait: 0, report: None }
+    AttemptEnd { id, attempt, endpoint, outcome, took, done, retry_after: 0, report: None }
 }
 
 pub struct Stand {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -62,7 +62,7 @@
 fn play(n: usize, wanted: impl Fn(Ns) -> f64, limit: f64, counts: Counts, span: Ns, from: Ns) -> Day {
     let mut senders: Vec<Stand> = (0..n as u64)
         .map(|seed| {
-            let cfg = Settings { n_instances: n, max_open: 10_000, ..settings() };
+            let cfg = Settings { sender_count: n, max_open: 10_000, ..settings() };
             let mut stand = Stand { sender: Sender::new(cfg, seed), now: T0, actions: Vec::new() };
             stand.give(vec![Event::List { whole: true, entries: vec![entry(1, 1, 0)] }]);
             stand
@@ -162,7 +162,7 @@
 
 #[test]
 fn a_connection_is_kept_for_calls_that_are_served_often_not_for_such_as_are_tried_often() {
-    let many = Settings { n_instances: 300, ..settings() };
+    let many = Settings { sender_count: 300, ..settings() };
     let mut s = Stand::new(many, &[entry(1, 1, 0)]);
     s.give((0..2).map(|i| Event::Message(message(i, 1, 1))).collect());
     let (mut attempt, mut closed) = (0, false);
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -39,7 +39,7 @@
     let burst = (0..9).map(|i| Event::Message(message(1_000 + i, 1, 0))).collect();
     let sent = sends(&s.give(burst)).len();
     assert!(sent < 9, "the cap is under the levels that missed: {sent}");
-    s.give((1_000 + sent as u64..1_009).map(|id| Event::Expired { id }).collect());
+    s.give((1_000 + sent as u64..1_009).map(|id| Event::Withdrawn { id }).collect());
     for id in 1_000..1_000 + sent as u64 {
         s.end(end(id, 0, 1, Outcome::Served));
     }
@@ -83,7 +83,7 @@
 fn two_failures_leave_single_spaced_trials_and_the_ramp_keeps_its_budget_over_any_window() {
     let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
     let limit = 10.0;
-    let report = Some(Report { left: 0.9, limit });
+    let report = Some(LimitReport { remaining: 0.9, limit });
     s.take(message(0, 1, 1));
     s.now += 100 * MS;
     s.end(AttemptEnd { report, ..end(0, 0, 1, Outcome::Served) });
@@ -177,7 +177,7 @@
     assert_eq!(common::finals(&s.end(end(2, 0, 1, Outcome::NoAnswer))), [Action::Fail { id: 2 }]);
     // Told of the end twice, or of what it does not know, it passes over it.
     assert!(common::finals(&s.end(end(2, 0, 1, Outcome::NoAnswer))).is_empty());
-    s.give(vec![Event::Expired { id: 2 }, Event::Expired { id: 99 }]);
+    s.give(vec![Event::Withdrawn { id: 2 }, Event::Withdrawn { id: 99 }]);
 }
 
 #[test]
@@ -210,7 +210,7 @@
         let mut s = Stand::new(settings(), &[entry(1, 1, kind), entry(2, 1, kind)]);
         let place = sends(&s.take(message(1, 1, 0)))[0].1;
         s.now += 20 * MS;
-        let told = AttemptEnd { wait: 700 * MS, ..end(1, 0, place, Outcome::TurnedAway) };
+        let told = AttemptEnd { retry_after: 700 * MS, ..end(1, 0, place, Outcome::TurnedAway) };
         let told_at = s.now;
         let mut all: Vec<_> = s.end(told).into_iter().map(|a| (told_at, a)).collect();
         s.take(message(2, 1, 0));
@@ -231,7 +231,7 @@
     let sent = sends(&s.give((0..3).map(|i| Event::Message(message(i, 1, 0))).collect()));
     assert_eq!(sent.len(), 3);
     s.now += 20 * MS;
-    let told = |id| AttemptEnd { wait: 600 * MS, ..end(id, 0, 1, Outcome::TurnedAway) };
+    let told = |id| AttemptEnd { retry_after: 600 * MS, ..end(id, 0, 1, Outcome::TurnedAway) };
     s.end(told(0));
     s.end(told(1));
     s.now += 15 * MS;
@@ -289,7 +289,7 @@
 #[test]
 fn a_known_limit_paces_the_calls() {
     let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
-    let report = Some(Report { left: 0.3, limit: 4.0 });
+    let report = Some(LimitReport { remaining: 0.3, limit: 4.0 });
     s.take(message(0, 1, 0));
     s.now += 100 * MS;
     s.end(AttemptEnd { report, ..end(0, 0, 1, Outcome::Served) });
@@ -311,10 +311,11 @@
 
 #[test]
 fn absurd_input_is_bounded_and_passed_over() {
-    let cfg = Settings { slots: 0, max_open: 0, tick: 0, cold: 0, n_instances: 0, ..settings() };
+    let cfg =
+        Settings { slots: 0, max_open: 0, tick: 0, slow_start_window: 0, sender_count: 0, ..settings() };
     let mut s = Stand::new(cfg, &[entry(1, 1, 99)]);
     s.take(message(1, 1, 0));
-    s.take(Message { left: -5, ..message(2, 7, 0) });
+    s.take(Message { time_left: -5, ..message(2, 7, 0) });
     s.take(message(3, 1, 77));
     s.end(end(42, 3, 9, Outcome::Served));
     s.give(vec![Event::List { whole: true, entries: vec![] }]);
@@ -323,7 +324,7 @@
         let id = i as MsgId;
         assert_eq!(sends(&s.take(message(id, 1, 0))).len(), 1, "traffic goes on after limit {limit}");
         s.now += 20 * MS;
-        let report = Some(Report { left: f64::NAN, limit });
+        let report = Some(LimitReport { remaining: f64::NAN, limit });
         s.end(AttemptEnd { report, ..end(id, 0, 1, Outcome::Served) });
         s.now -= 10 * MS;
     }
@@ -442,15 +443,15 @@
 }
 
 fn paced(limit: f64) -> (Settings, Stand) {
-    let cfg = Settings { hints: true, max_open: 10_000, ..settings() };
-    (cfg.clone(), Stand::new(cfg, &[Entry { hint: limit, ..entry(1, 1, 0) }]))
+    let cfg = Settings { rate_hints: true, max_open: 10_000, ..settings() };
+    (cfg.clone(), Stand::new(cfg, &[Entry { rate_hint: limit, ..entry(1, 1, 0) }]))
 }
 
 #[test]
 fn single_losses_on_the_way_up_do_not_start_the_ramp_anew() {
     let limit = 40.0;
     let (cfg, mut s) = paced(limit);
-    let (start, span) = (s.now, cfg.cold + 4 * SECOND);
+    let (start, span) = (s.now, cfg.slow_start_window + 4 * SECOND);
     // An outage of three calls, then one call in ten is lost, never two together.
     let sent = drive(&mut s, 25 * MS, span, |n| match n <= 3 || n % 10 == 0 {
         true => Outcome::ConnectionLost,
@@ -497,8 +498,8 @@
 fn refusals_of_a_shut_route_leave_its_share_as_it_was() {
     let limit = 40.0;
     // So high that the ramp leaves more than the least share.
-    let cfg = Settings { fall_multiple: 5.0, ..paced(limit).0 };
-    let mut s = Stand::new(cfg, &[Entry { hint: limit, ..entry(1, 1, 0) }]);
+    let cfg = Settings { overload_factor: 5.0, ..paced(limit).0 };
+    let mut s = Stand::new(cfg, &[Entry { rate_hint: limit, ..entry(1, 1, 0) }]);
     let (first, last) = (400, 410);
     let sent = drive(&mut s, 25 * MS, 50 * SECOND, |n| match (first..=last).contains(&n) {
         true => Outcome::TurnedAway,
@@ -544,7 +545,7 @@
     s.now += 100 * MS;
     assert!(!s.end(end(1, 0, 1, Outcome::Served)).contains(&Action::Close { endpoint: 1 }), "none was short");
     // Where connections ran short, many senders may each keep one only for a moment.
-    let many = Settings { n_instances: 500, ..settings() };
+    let many = Settings { sender_count: 500, ..settings() };
     let mut s = Stand::new(many, &[entry(1, 1, 0), entry(2, 1, 0)]);
     s.give((1..3).map(|i| Event::Message(message(i, 1, 1))).collect());
     s.now += 100 * MS;
@@ -559,9 +560,9 @@
 
 #[test]
 fn a_refusal_at_the_limit_leaves_an_equal_share_and_time_without_news_gives_it_back() {
-    let many = Settings { n_instances: 50, ..settings() };
+    let many = Settings { sender_count: 50, ..settings() };
     let mut s = Stand::new(many, &[entry(1, 1, 0)]);
-    let full = Some(Report { left: 0.0, limit: 10.0 });
+    let full = Some(LimitReport { remaining: 0.0, limit: 10.0 });
     s.take(message(1, 1, 1));
     s.now += 50 * MS;
     s.end(AttemptEnd { report: full, ..end(1, 0, 1, Outcome::TurnedAway) });
@@ -571,7 +572,7 @@
     let all = s.pass(11 * SECOND);
     assert_eq!(sends(&plain(&all)).len(), 1);
     s.now += 50 * MS;
-    let free = Some(Report { left: 1.0, limit: 10.0 });
+    let free = Some(LimitReport { remaining: 1.0, limit: 10.0 });
     s.end(AttemptEnd { report: free, ..end(1, 1, 1, Outcome::Served) });
     s.now += 40 * SECOND;
     let burst = (10..16).map(|i| Event::Message(message(i, 1, 1))).collect();
@@ -580,9 +581,9 @@
 
 #[test]
 fn refusals_with_nothing_left_are_the_limit_s_however_many_and_however_long_the_wait() {
-    let cfg = Settings { fall_multiple: 0.1, ..settings() };
+    let cfg = Settings { overload_factor: 0.1, ..settings() };
     let mut s = Stand::new(cfg, &[entry(1, 1, 0)]);
-    let full = Some(Report { left: 0.0, limit: 20.0 });
+    let full = Some(LimitReport { remaining: 0.0, limit: 20.0 });
     for id in 0..6 {
         let mut sent = sends(&s.take(message(id, 1, 1)));
         while sent.is_empty() {
@@ -593,7 +594,7 @@
         let e = AttemptEnd {
             report: full,
             done: true,
-            wait: 1_600 * MS,
+            retry_after: 1_600 * MS,
             ..end(id, 0, place, Outcome::TurnedAway)
         };
         s.end(e);
@@ -619,10 +620,10 @@
     let limit = 4.0;
     let mut times = Vec::new();
     for seed in 0..n as u64 {
-        let cfg = Settings { n_instances: n, ..settings() };
+        let cfg = Settings { sender_count: n, ..settings() };
         let mut s = Stand { sender: sender::policy::Sender::new(cfg, seed), now: T0, actions: Vec::new() };
         s.give(vec![Event::List { whole: true, entries: vec![entry(1, 1, 0)] }]);
-        let report = Some(Report { left: 0.9, limit });
+        let report = Some(LimitReport { remaining: 0.9, limit });
         // Three lost calls put it in doubt; then it is back, and everything is served at once.
         s.give((0..9).map(|i| Event::Message(message(i, 1, 1))).collect());
         s.now += 50 * MS;
@@ -669,7 +670,7 @@
     let mut s = Stand::new(settings(), &[entry(1, 1, 1)]);
     s.take(message(1, 1, 1));
     s.now += 20 * MS;
-    s.end(AttemptEnd { wait: 100 * SECOND, done: true, ..end(1, 0, 1, Outcome::TurnedAway) });
+    s.end(AttemptEnd { retry_after: 100 * SECOND, done: true, ..end(1, 0, 1, Outcome::TurnedAway) });
     s.give(vec![Event::List { whole: true, entries: vec![] }]);
     s.take(message(2, 9, 1));
     s.pass(15 * SECOND);
@@ -683,7 +684,7 @@
 #[test]
 fn a_message_that_ends_as_its_unlisted_destination_is_forgotten_does_not_break_the_round() {
     let mut s = Stand::new(settings(), &[]);
-    let late = Message { left: 0, ..message(0, 99, 2) };
+    let late = Message { time_left: 0, ..message(0, 99, 2) };
     let ends = s.give(vec![Event::Resumed { message: late, past: Vec::new() }]);
     assert!(matches!(finals(&ends)[..], [Action::Refuse { id: 0, .. }]));
     s.pass(11 * SECOND);
@@ -727,8 +728,8 @@
 
 #[test]
 fn an_endpoint_put_back_is_cold_and_leaves_its_neighbour_s_pace_as_it_is() {
-    let settings = Settings { hints: true, ..settings() };
-    let hinted = |endpoint| Entry { hint: 20.0, ..entry(endpoint, 1, 0) };
+    let settings = Settings { rate_hints: true, ..settings() };
+    let hinted = |endpoint| Entry { rate_hint: 20.0, ..entry(endpoint, 1, 0) };
     // Calls to either within a second from its return at `back` on, with more work than both can take.
     let calls = |back: Ns| {
         let mut s = Stand::new(settings.clone(), &[hinted(1), hinted(2)]);
@@ -755,8 +756,8 @@
 
 #[test]
 fn in_a_large_fleet_one_sender_s_work_is_not_paced_to_its_equal_part_of_the_limit() {
-    let fleet = Settings { n_instances: 48, hints: true, ..settings() };
-    let mut s = Stand::new(fleet, &[Entry { hint: 4.0, ..entry(1, 1, 0) }]);
+    let fleet = Settings { sender_count: 48, rate_hints: true, ..settings() };
+    let mut s = Stand::new(fleet, &[Entry { rate_hint: 4.0, ..entry(1, 1, 0) }]);
     s.give((0..4).map(|id| Event::Message(message(id, 1, 1))).collect());
     // Its equal part is one call in 12 s.
     let sent = s.pass(6 * SECOND);
@@ -765,8 +766,8 @@
 
 #[test]
 fn in_a_large_fleet_seldom_used_connections_are_closed_after_their_call() {
-    let closed = |n_instances| {
-        let mut s = Stand::new(Settings { n_instances, ..settings() }, &[entry(1, 1, 0)]);
+    let closed = |sender_count| {
+        let mut s = Stand::new(Settings { sender_count, ..settings() }, &[entry(1, 1, 0)]);
         for id in 0..2 {
             s.take(message(id, 1, 1));
             s.now += 100 * MS;
@@ -784,8 +785,8 @@
 
 #[test]
 fn in_a_large_fleet_one_refusal_leaves_at_most_an_equal_part_of_a_limit_that_was_not_in_use() {
-    let fleet = Settings { n_instances: 100, hints: true, max_open: 10_000, ..settings() };
-    let mut s = Stand::new(fleet, &[Entry { hint: 40.0, ..entry(1, 1, 0) }]);
+    let fleet = Settings { sender_count: 100, rate_hints: true, max_open: 10_000, ..settings() };
+    let mut s = Stand::new(fleet, &[Entry { rate_hint: 40.0, ..entry(1, 1, 0) }]);
     let sent = drive(&mut s, 100 * MS, 5 * SECOND, |n| match n {
         1 => Outcome::TurnedAway,
         _ => Outcome::Served,
@@ -799,9 +800,9 @@
     let n = 100;
     let mut again = Vec::new();
     for seed in 0..n as u64 {
-        let fleet = Settings { n_instances: n, hints: true, ..settings() };
+        let fleet = Settings { sender_count: n, rate_hints: true, ..settings() };
         let mut s = Stand { sender: sender::policy::Sender::new(fleet, seed), now: T0, actions: Vec::new() };
-        s.give(vec![Event::List { whole: true, entries: vec![Entry { hint: 40.0, ..entry(1, 1, 0) }] }]);
+        s.give(vec![Event::List { whole: true, entries: vec![Entry { rate_hint: 40.0, ..entry(1, 1, 0) }] }]);
         s.take(message(1, 1, 1));
         s.now += 50 * MS;
         s.end(end(1, 0, 1, Outcome::TurnedAway));
@@ -815,8 +816,8 @@
 
 #[test]
 fn a_share_cut_by_a_refusal_grows_back_in_time_however_few_answers_a_sender_sees() {
-    let fleet = Settings { n_instances: 100, hints: true, max_open: 10_000, ..settings() };
-    let mut s = Stand::new(fleet, &[Entry { hint: 40.0, ..entry(1, 1, 0) }]);
+    let fleet = Settings { sender_count: 100, rate_hints: true, max_open: 10_000, ..settings() };
+    let mut s = Stand::new(fleet, &[Entry { rate_hint: 40.0, ..entry(1, 1, 0) }]);
     // Its equal part is two calls in 5 s, and its work a call in a second.
     let sent = drive(&mut s, SECOND, 30 * SECOND, |n| match n {
         2 => Outcome::TurnedAway,
@@ -831,7 +832,7 @@
     let senders = 300;
     let mut calls = [0; 3];
     for seed in 0..senders {
-        let fleet = Settings { n_instances: senders as usize, ..settings() };
+        let fleet = Settings { sender_count: senders as usize, ..settings() };
         let mut s = Stand { sender: sender::policy::Sender::new(fleet, seed), now: T0, actions: Vec::new() };
         let entries = vec![entry(1, 1, 0), entry(2, 1, 0), entry(3, 1, 0)];
         s.give(vec![Event::List { whole: true, entries }]);
--- a/tests/old_state.rs
+++ b/tests/old_state.rs
@@ -64,7 +64,7 @@
 fn go_on(state: &[u8]) -> String {
     let sender: Sender = rmp_serde::from_slice(state).expect("the state is read");
     let cfg = Settings { max_open: 10_000, ..settings() };
-    let mut stand = Stand { sender: sender.taken_over(cfg), now: T0 + 20 * SECOND, actions: Vec::new() };
+    let mut stand = Stand { sender: sender.after_handover(cfg), now: T0 + 20 * SECOND, actions: Vec::new() };
     play(&mut stand, &mut answers_to_calls_out(), 1_000, 300)
 }
 
--- a/tests/on_demand.rs
+++ b/tests/on_demand.rs
@@ -107,17 +107,17 @@
     }
 
     fn changed(&mut self, endpoints: &[EndpointId]) {
-        self.on_demand.changed(&self.stand.sender, &self.listed, endpoints, &mut self.events);
+        self.on_demand.endpoints_changed(&self.stand.sender, &self.listed, endpoints, &mut self.events);
     }
 
     fn replaced(&mut self) {
-        self.on_demand.replaced(&self.stand.sender, &self.listed, &mut self.events);
+        self.on_demand.directory_replaced(&self.stand.sender, &self.listed, &mut self.events);
     }
 
     /// Events as the module is given them in one batch.
     fn batch(&mut self) -> Vec<Event> {
         let mut events = std::mem::take(&mut self.events);
-        self.on_demand.catch_up(&self.stand.sender, &self.listed, CATCH_UP, &mut events);
+        self.on_demand.tell_pending(&self.stand.sender, &self.listed, CATCH_UP, &mut events);
         events
     }
 
@@ -128,7 +128,7 @@
 
     fn give(&mut self, events: Vec<Event>) -> Vec<Action> {
         let actions = self.stand.give(events);
-        self.on_demand.handled();
+        self.on_demand.events_handled();
         actions
     }
 
@@ -195,7 +195,7 @@
     }
 
     fn knows(&self, destination: DestId) -> bool {
-        self.stand.sender.knows(destination)
+        self.stand.sender.knows_destination(destination)
     }
 
     fn known(&self) -> usize {
@@ -210,12 +210,13 @@
 /// Messages and cold returns that outlast being idle.
 fn long() -> Settings {
     let classes = settings().classes.into_iter();
-    let classes = classes.map(|c| Class { deadline: 900 * SECOND, window: 800 * SECOND, ..c }).collect();
-    Settings { classes, cold: 300 * SECOND, ..settings() }
+    let classes =
+        classes.map(|c| Class { deadline: 900 * SECOND, dedup_window: 800 * SECOND, ..c }).collect();
+    Settings { classes, slow_start_window: 300 * SECOND, ..settings() }
 }
 
 fn long_message(id: MsgId, dest: DestId, class: usize) -> Message {
-    Message { left: 900 * SECOND, ..message(id, dest, class) }
+    Message { time_left: 900 * SECOND, ..message(id, dest, class) }
 }
 
 #[test]
@@ -376,11 +377,11 @@
     driver.take(message(1, 3, 0));
     let wait = 300 * SECOND;
     let over = driver.stand.now + wait;
-    driver.end(AttemptEnd { wait, done: true, ..end(1, 0, 3, Outcome::TurnedAway) });
+    driver.end(AttemptEnd { retry_after: wait, done: true, ..end(1, 0, 3, Outcome::TurnedAway) });
     driver.press();
     assert!(driver.knows(3));
     assert!(driver.take(message(2, 3, 0)).is_empty(), "the wait is still on");
-    driver.events.push(Event::Expired { id: 2 });
+    driver.events.push(Event::Withdrawn { id: 2 });
     driver.pass(over - driver.stand.now + FORGETS);
     driver.press();
     assert!(!driver.knows(3), "it is over");
@@ -393,13 +394,13 @@
     // Each pause is twice as long as the one before.
     for id in 0..5 {
         while driver.take(message(id, 3, 0)).is_empty() {
-            driver.events.push(Event::Expired { id });
+            driver.events.push(Event::Withdrawn { id });
             driver.round();
             driver.stand.now += 500 * MS;
         }
         driver.stand.now += 10 * MS;
         now = driver.stand.now;
-        let report = Some(Report { left: 0.0, limit: 1_000.0 });
+        let report = Some(LimitReport { remaining: 0.0, limit: 1_000.0 });
         driver.end(AttemptEnd { took: 10 * MS, done: true, report, ..end(id, 0, 3, Outcome::TurnedAway) });
     }
     // The crowd is there and gone before the pause ends: eight times 100 ms at least.
@@ -432,9 +433,9 @@
 
 #[test]
 fn a_destination_that_is_still_cold_is_kept_for_as_long() {
-    let cfg = Settings { hints: true, ..long() };
+    let cfg = Settings { rate_hints: true, ..long() };
     let mut directory = listed(10);
-    directory.set(Entry { hint: 10.0, ..entry(3, 3, 0) });
+    directory.set(Entry { rate_hint: 10.0, ..entry(3, 3, 0) });
     let mut driver = Driver::new(cfg, directory);
     // Its share of the limit has grown by then.
     driver.pass(10 * SECOND);
@@ -452,7 +453,7 @@
     // A fifth of 10 a second while cold, and a bit more, times the budget, between two senders.
     (5..15).for_each(|id| driver.message(message(id, 3, 0)));
     assert_eq!(sends(&driver.round()).len(), 1, "no burst");
-    (5..15).for_each(|id| driver.events.push(Event::Expired { id }));
+    (5..15).for_each(|id| driver.events.push(Event::Withdrawn { id }));
     driver.end(AttemptEnd { done: true, ..end(5, 0, 3, Outcome::Served) });
     driver.pass(back + 301 * SECOND - driver.stand.now);
     driver.press();
@@ -468,14 +469,14 @@
     driver.press();
     assert!(driver.knows(3));
     assert!(driver.take(message(2, 3, 0)).is_empty(), "it is out");
-    driver.events.push(Event::Expired { id: 2 });
+    driver.events.push(Event::Withdrawn { id: 2 });
     let back = driver.stand.now;
     driver.events.push(maint(false, back));
     driver.press();
     assert!(driver.knows(3) && driver.stand.now < back + 300 * SECOND);
     (3..9).for_each(|id| driver.message(message(id, 3, 0)));
     assert_eq!(sends(&driver.round()).len(), 1, "it is cold");
-    (3..9).for_each(|id| driver.events.push(Event::Expired { id }));
+    (3..9).for_each(|id| driver.events.push(Event::Withdrawn { id }));
     driver.end(AttemptEnd { done: true, ..end(3, 0, 3, Outcome::Served) });
     driver.pass(back + 301 * SECOND - driver.stand.now);
     driver.press();
@@ -504,7 +505,7 @@
         driver.press();
         assert!(!driver.knows(3), "there was never work for it");
         assert!(driver.take(message(1, 3, 0)).is_empty(), "it is out all the same");
-        driver.events.push(Event::Expired { id: 1 });
+        driver.events.push(Event::Withdrawn { id: 1 });
         if put_back {
             driver.events.push(Event::Maint { endpoint: 3, out: false, at: driver.stand.now });
         }
@@ -518,7 +519,7 @@
 #[test]
 fn a_key_rests_though_its_destination_is_forgotten() {
     let classes = vec![Class { in_order: true, ..class(Effect::Keyed) }, class(Effect::Safe)];
-    let cfg = Settings { classes, key_rest: 300 * SECOND, ..settings() };
+    let cfg = Settings { classes, key_quiet_period: 300 * SECOND, ..settings() };
     let mut driver = Driver::new(cfg, listed(10));
     let keyed = |id| Message { key: Some(5), ..message(id, 3, 0) };
     driver.take(keyed(1));
@@ -529,7 +530,7 @@
     assert!(driver.stand.now < rests_until);
     assert!(driver.take(keyed(2)).is_empty(), "the attempt before may still run");
     assert_eq!(driver.take(message(3, 3, 1)), [(3, 3)], "without the key it goes");
-    driver.events.push(Event::Expired { id: 2 });
+    driver.events.push(Event::Withdrawn { id: 2 });
     driver.pass(rests_until - driver.stand.now);
     assert_eq!(driver.take(keyed(4)), [(4, 3)]);
 }
@@ -554,7 +555,7 @@
         touched.extend((0..5).map(|_| DOWN + draws.below(LISTED - DOWN)));
         touched.extend((0..2).map(|_| draws.below(so_far)));
         for dest in touched {
-            driver.message(Message { left: 2 * SECOND, ..message(driver.next, dest, 1) });
+            driver.message(Message { time_left: 2 * SECOND, ..message(driver.next, dest, 1) });
             driver.next += 1;
         }
         for action in driver.round() {
@@ -608,7 +609,7 @@
             out.extend(sends(&driver.round()));
             assert!(out.len() <= 9, "three quarters of 12: {}", out.len());
         }
-        (0..40).for_each(|n| driver.events.push(Event::Expired { id: life * 100 + n }));
+        (0..40).for_each(|n| driver.events.push(Event::Withdrawn { id: life * 100 + n }));
         driver.round();
         driver.crowd(2 * MOST_IDLE as u64 + 500);
         assert!(driver.knows(3), "its calls are out");
@@ -623,9 +624,9 @@
 /// A fleet with one destination in use that is away from 8 to 20 s and comes back cold; each sender has no work for it before its return and is crowded then. Gives the worst excess over the budget of the calls in a window of the settings' length.
 fn cold_return(senders: usize, usual: f64, outcome: Outcome, seed: u64) -> (f64, usize) {
     const BACK: Ns = 20 * SECOND;
-    let cfg = Settings { n_instances: senders, hints: true, max_open: 10_000, ..settings() };
+    let cfg = Settings { sender_count: senders, rate_hints: true, max_open: 10_000, ..settings() };
     let mut directory = listed(0);
-    directory.set(Entry { hint: usual * 1.25, ..entry(1, 1, 0) });
+    directory.set(Entry { rate_hint: usual * 1.25, ..entry(1, 1, 0) });
     let begin = |i| Driver::with_seed(cfg.clone(), directory.clone(), seed * 1_000 + i as u64);
     let mut fleet: Vec<Driver> = (0..senders).map(begin).collect();
     let mut draws = Draws::new(seed);
@@ -633,7 +634,7 @@
     let mut attempts = BTreeMap::<MsgId, u32>::new();
     let (mut next, mut calls) = (0, Vec::new());
     let mut now = T0;
-    while now < T0 + BACK + cfg.cold {
+    while now < T0 + BACK + cfg.slow_start_window {
         now += 20 * MS;
         let at = now - T0;
         let away = (8 * SECOND..BACK).contains(&at);
@@ -649,7 +650,7 @@
             }
             // Clients take all back before the end; what they have gathered comes once it is over.
             if at == BACK - 400 * MS {
-                driver.events.extend((0..next).map(|id| Event::Expired { id }));
+                driver.events.extend((0..next).map(|id| Event::Withdrawn { id }));
             }
             if at == BACK {
                 for _ in 0..(5.0 * usual / senders as f64).ceil() as u64 {
@@ -673,10 +674,10 @@
     }
     let excess = |last: usize| {
         let at: Ns = calls[last];
-        let middle = (at - cfg.overload_for / 2 - BACK).max(0) as f64 / cfg.cold as f64;
-        let able = cfg.start_capacity + (1.0 - cfg.start_capacity) * middle;
-        let budget = cfg.fall_multiple * able * usual * 1.5 * cfg.overload_for as f64 / 1e9;
-        let sent = calls[..=last].iter().filter(|&&c| c > at - cfg.overload_for).count();
+        let middle = (at - cfg.overload_duration / 2 - BACK).max(0) as f64 / cfg.slow_start_window as f64;
+        let able = cfg.slow_start_capacity + (1.0 - cfg.slow_start_capacity) * middle;
+        let budget = cfg.overload_factor * able * usual * 1.5 * cfg.overload_duration as f64 / 1e9;
+        let sent = calls[..=last].iter().filter(|&&c| c > at - cfg.overload_duration).count();
         sent as f64 - (budget + 2.0 * budget.sqrt() + 2.0)
     };
     let worst = (0..calls.len()).map(excess).max_by(f64::total_cmp).unwrap_or(f64::MIN);
@@ -790,7 +791,7 @@
     driver.replaced();
     let mut told = BTreeSet::new();
     let mut batches = 0;
-    while driver.on_demand.is_behind() {
+    while driver.on_demand.has_pending() {
         let events = driver.batch();
         let entries = events.iter().flat_map(|event| match event {
             Event::List { entries, .. } => entries.clone(),
@@ -844,7 +845,7 @@
 fn a_message_for_a_destination_that_is_behind_goes_by_the_new_list() {
     for dest in [0, 700, 1_499] {
         let mut driver = behind_by_a_whole_list(1_500);
-        assert!(driver.on_demand.is_behind());
+        assert!(driver.on_demand.has_pending());
         assert_eq!(driver.take(message(9_000, dest, 0)), [(9_000, dest as EndpointId + MOVED)]);
     }
 }
@@ -868,7 +869,7 @@
     assert_eq!(driver.take(message(9_001, 1_400, 0)), [(9_001, 1_400 + 2 * MOVED)]);
     assert!(driver.take(message(9_002, 5, 0)).is_empty(), "it is not listed");
     assert!(driver.take(message(9_003, 6, 0)).is_empty(), "its endpoint is another's");
-    while driver.on_demand.is_behind() {
+    while driver.on_demand.has_pending() {
         driver.round();
     }
     let (first, second) = (1_300 + MOVED, 6 + MOVED);
@@ -903,7 +904,7 @@
     (0..1_000).for_each(|dest| driver.call(message(dest, dest, 0), Outcome::Served));
     let sent = driver.take(message(2_000, 900, 0));
     assert_eq!(sent, [(2_000, 900)]);
-    let told = AttemptEnd { wait: 30 * SECOND, ..end(2_000, 0, 900, Outcome::TurnedAway) };
+    let told = AttemptEnd { retry_after: 30 * SECOND, ..end(2_000, 0, 900, Outcome::TurnedAway) };
     driver.end(told);
     // It is given up, and nothing is left to do there.
     driver.pass(6 * SECOND);
@@ -912,7 +913,7 @@
     driver.replaced();
     assert!(driver.take(message(2_001, 900, 0)).is_empty(), "the wait is not over");
     driver.pass(SECOND);
-    assert!(!driver.on_demand.is_behind());
+    assert!(!driver.on_demand.has_pending());
     assert!(driver.take(message(2_002, 900, 0)).is_empty(), "the wait is not over");
 }
 
@@ -978,7 +979,7 @@
     let mut draws = Draws::new(seed());
     // A limit that is never met, and a message at a time for each destination: else a route that is listed later
     // than the others has less of its limit at first.
-    let cfg = Settings { hints: true, ..settings() };
+    let cfg = Settings { rate_hints: true, ..settings() };
     let mut driver = Driver::new(cfg.clone(), listed(0));
     let mut told = Stand::new(cfg, &[]);
     let mut answers: Vec<(Ns, AttemptEnd)> = Vec::new();
@@ -998,7 +999,7 @@
             let condition = [Condition::Ready, Condition::Ready, Condition::Draining, Condition::Gone];
             let condition = condition[draws.below(4) as usize];
             let (dest, kind) = (u64::from(endpoint) / 3, (endpoint % 2) as usize);
-            let entry = Entry { condition, hint: 1_000.0, ..entry(endpoint, dest, kind) };
+            let entry = Entry { condition, rate_hint: 1_000.0, ..entry(endpoint, dest, kind) };
             let ready = driver.listed.entry(endpoint).is_some_and(|e| e.condition == Condition::Ready);
             if condition == Condition::Gone && !ready {
                 // It has the other module look at the destination, and tells it nothing.
--- a/tests/returns.rs
+++ b/tests/returns.rs
@@ -46,8 +46,8 @@
         random ^= random << 17;
         (random >> 11) as f64 / (1u64 << 53) as f64
     };
-    let hint = if case.told { case.usual * 1.25 } else { 0.0 };
-    let listed = Event::List { whole: true, entries: vec![Entry { hint, ..entry(1, 1, 0) }] };
+    let rate_hint = if case.told { case.usual * 1.25 } else { 0.0 };
+    let listed = Event::List { whole: true, entries: vec![Entry { rate_hint, ..entry(1, 1, 0) }] };
     let begin = |seed: u64, now: Ns| {
         let mut stand = Stand { sender: Sender::new(cfg.clone(), seed), now, actions: Vec::new() };
         stand.give(vec![listed.clone()]);
@@ -77,14 +77,14 @@
                 for (&id, &(message, end)) in held[i].iter().filter(|(_, (_, end))| *end > now) {
                     let count = attempts.get(&id).copied().unwrap_or(0);
                     let past = PastAttempt { endpoint: Some(1), sent: now - SECOND, may_have_run: true };
-                    let message = Message { left: end - now, ..message };
+                    let message = Message { time_left: end - now, ..message };
                     given[i].push(Event::Resumed { message, past: vec![past; count as usize] });
                 }
             }
             if draw() < case.usual * weights[i] / all * 0.02 {
                 let message = message(next, 1, 1);
                 given[i].push(Event::Message(message));
-                held[i].insert(next, (message, now + message.left));
+                held[i].insert(next, (message, now + message.time_left));
                 next += 1;
             }
         }
@@ -135,19 +135,19 @@
 
 /// The largest excess of calls in a window of the settings' length over N + 2 root N + 2, and the calls in it.
 fn worst(case: Case, cfg: &Settings, calls: &[(Ns, bool)]) -> (f64, f64, f64) {
-    let span = cfg.overload_for;
+    let span = cfg.overload_duration;
     let (mut worst, mut first) = ((f64::MIN, 0.0, 0.0), 0);
     // Once it is warm it does not fall any more.
-    let cold = |c: &&(Ns, bool)| c.1 && c.0 <= BACK + cfg.cold;
+    let cold = |c: &&(Ns, bool)| c.1 && c.0 <= BACK + cfg.slow_start_window;
     let calls: Vec<Ns> = calls.iter().filter(cold).map(|c| c.0).collect();
     for (last, &at) in calls.iter().enumerate() {
         while calls[first] <= at - span {
             first += 1;
         }
         // What it can do in the mean of the window that ends with this call.
-        let middle = (at - span / 2 - BACK).max(0) as f64 / cfg.cold as f64;
-        let able = cfg.start_capacity + (1.0 - cfg.start_capacity) * middle.min(1.0);
-        let n = cfg.fall_multiple * able * case.usual * 1.5 * span as f64 / 1e9;
+        let middle = (at - span / 2 - BACK).max(0) as f64 / cfg.slow_start_window as f64;
+        let able = cfg.slow_start_capacity + (1.0 - cfg.slow_start_capacity) * middle.min(1.0);
+        let n = cfg.overload_factor * able * case.usual * 1.5 * span as f64 / 1e9;
         let sent = (last + 1 - first) as f64;
         let over = sent - (n + 2.0 * n.sqrt() + 2.0);
         if over > worst.0 {
@@ -166,7 +166,7 @@
                 for seed in [1, 2] {
                     let case = Case { senders, usual, told, away, restarted, seed };
                     let more = Settings { max_open: 10_000, ..settings() };
-                    let cfg = Settings { n_instances: senders, hints: told, ..more };
+                    let cfg = Settings { sender_count: senders, rate_hints: told, ..more };
                     let calls = play(case, &cfg);
                     assert!(!calls.is_empty(), "{case:?}: the return is not noticed");
                     let (over, sent, n) = worst(case, &cfg, &calls);
