--- a/crates/cairnpulley/src/output.rs
+++ b/crates/cairnpulley/src/output.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use testbed::clock::SECOND;
-use testbed::compare::{Comparison, Line};
+use testbed::compare::{Comparison, FigureComparison};
 use testbed::judge::Rule;
 use testbed::play::{Progress, Verdict};
 use tokio::sync::watch;
@@ -35,7 +35,7 @@
 impl Exit {
     pub fn of(verdict: &Verdict) -> Exit {
         // A void play says nothing of the senders, broken rules included.
-        match (&verdict.void, verdict.breaks.is_empty()) {
+        match (&verdict.void, verdict.violations.is_empty()) {
             (Some(_), _) => Exit::Void,
             (None, true) => Exit::Kept,
             (None, false) => Exit::Broken,
@@ -60,7 +60,7 @@
             Progress::Starting { ready } => (format!("starting: {ready} of {senders} senders ready"), 0),
             Progress::Playing { at } => ("playing".to_string(), at / SECOND),
             Progress::Ending { open } => (format!("{open} messages have no end yet"), seconds as i64),
-            Progress::Over => break,
+            Progress::Finished => break,
         };
         if terminal {
             bar.set_position(at.max(0) as u64);
@@ -99,9 +99,9 @@
 
 pub fn print_comparison(compared: &Comparison) {
     let number = |x: f64| if x.abs() >= 100.0 { format!("{x:.0}") } else { format!("{x:.3}") };
-    let row = |l: &Line| {
+    let row = |l: &FigureComparison| {
         let spread = format!("{} to {}", number(l.low), number(l.high));
-        [l.figure.to_string(), number(l.a), number(l.b), spread, l.word.name().to_string()]
+        [l.figure.to_string(), number(l.a), number(l.b), spread, l.assessment.name().to_string()]
     };
     let head = ["", "A", "B", "B - A, 95%", "B is"].map(String::from);
     println!("{} pairs of plays by seed", compared.pairs);
@@ -140,7 +140,7 @@
         ["testbed late, p99".into(), format!("{:.1} ms", verdict.lateness_p99_ms)],
     ];
     let holds = |n: usize| ["machine holds about".to_string(), format!("{n} such senders")];
-    let rows: Vec<_> = rows.into_iter().chain(verdict.holds.map(holds)).collect();
+    let rows: Vec<_> = rows.into_iter().chain(verdict.max_senders.map(holds)).collect();
     println!("{}, seed {}, {} senders", verdict.title, verdict.seed, verdict.senders);
     println!("{}", table(rows));
     for (rule, count, first) in broken(verdict) {
@@ -154,8 +154,8 @@
 /// Each broken rule, how often, and its first break.
 fn broken(verdict: &Verdict) -> Vec<(Rule, usize, &str)> {
     let of = |rule: Rule| {
-        let mut breaks = verdict.breaks.iter().filter(move |b| b.rule == rule);
-        breaks.next().map(|first| (rule, 1 + breaks.count(), first.what.as_str()))
+        let mut breaks = verdict.violations.iter().filter(move |b| b.rule == rule);
+        breaks.next().map(|first| (rule, 1 + breaks.count(), first.description.as_str()))
     };
     Rule::ALL.into_iter().filter_map(of).collect()
 }
--- a/crates/cairnpulley/src/testbed.rs
+++ b/crates/cairnpulley/src/testbed.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use testbed::clock::SECOND;
-use testbed::compare::{self, Word};
+use testbed::compare::{self, Assessment};
 use testbed::plan::Plan;
 use testbed::play::{self, PlayError, Played, Progress};
 use testbed::program::{self, ProgramError};
@@ -57,8 +57,8 @@
     spec.seconds = seconds;
     for event in &mut spec.event {
         event.at *= by;
-        if !event.what.get_ref().of_senders() {
-            event.lasts *= by;
+        if !event.kind.get_ref().strikes_senders() {
+            event.duration_s *= by;
         }
     }
     play_all(&spec, options)
@@ -85,19 +85,19 @@
 }
 
 pub fn compare(a: &Path, b: &Path, json: bool) -> Result<Exit, RangeError> {
-    let of = |path: &Path| record::Folder::open(path).verdicts();
+    let of = |path: &Path| record::ExperimentFolder::open(path).verdicts();
     let compared = compare::compare(&of(a)?, &of(b)?)?;
     match json {
         true => println!("{}", serde_json::to_string_pretty(&compared)?),
         false => output::print_comparison(&compared),
     }
     let [broken_a, broken_b] = compared.broken;
-    let worse = compared.lines.first().is_some_and(|line| line.word == Word::Worse);
+    let worse = compared.lines.first().is_some_and(|line| line.assessment == Assessment::Worse);
     Ok(if worse || broken_b > broken_a { Exit::Broken } else { Exit::Kept })
 }
 
 pub fn report(dir: &Path, to: Option<&Path>) -> Result<Exit, RangeError> {
-    let page = report::page(&record::Folder::open(dir))
+    let page = report::page(&record::ExperimentFolder::open(dir))
         .map_err(|error| RangeError::Report { dir: dir.to_path_buf(), error })?;
     let to = to.map_or_else(|| dir.join("report.html"), Path::to_path_buf);
     std::fs::write(&to, page).map_err(|error| RangeError::Write { path: to.clone(), error })?;
@@ -118,7 +118,7 @@
         plan.arrivals.len()
     );
     for step in &plan.schedule {
-        println!("{:8.3} s  {}", step.at as f64 / SECOND as f64, serde_json::to_string(&step.does)?);
+        println!("{:8.3} s  {}", step.at as f64 / SECOND as f64, serde_json::to_string(&step.action)?);
     }
     Ok(Exit::Kept)
 }
@@ -130,7 +130,7 @@
     all_seeds(spec, options, |plan, out| {
         let scratch = tempfile::tempdir().map_err(RangeError::Work)?;
         let work = match out {
-            Some(out) => out.work(plan.seed.0)?,
+            Some(out) => out.senders_folder(plan.seed.0)?,
             None => scratch.path().to_path_buf(),
         };
         runtime.block_on(one(plan, program.clone(), work))
@@ -141,10 +141,10 @@
 fn all_seeds(
     spec: &Spec,
     options: &Play,
-    play: impl Fn(&Arc<Plan>, Option<&record::Folder>) -> Result<Option<Played>, RangeError>,
+    play: impl Fn(&Arc<Plan>, Option<&record::ExperimentFolder>) -> Result<Option<Played>, RangeError>,
 ) -> Result<Exit, RangeError> {
     let first = options.seed.unwrap_or_else(new_seed);
-    let out = options.out.as_deref().map(record::Folder::create).transpose()?;
+    let out = options.out.as_deref().map(record::ExperimentFolder::create).transpose()?;
     let mut worst = Exit::Kept;
     let mut verdicts = Vec::new();
     for seed in (first..).take(spec.repetitions as usize) {
@@ -156,7 +156,7 @@
         }
         // After the verdict, which a full disk must not cost.
         if let Some(out) = &out {
-            out.keep(&plan, &played)?;
+            out.save(&plan, &played)?;
         }
         worst = match (worst, Exit::of(&played.verdict)) {
             (Exit::Broken, _) | (_, Exit::Broken) => Exit::Broken,
@@ -180,7 +180,7 @@
     let shown = output::show(progress.subscribe(), plan.senders.len(), plan.spec.seconds);
     let played = async {
         let played = play::play(plan, &program, &work, &progress).await;
-        progress.send_replace(Progress::Over);
+        progress.send_replace(Progress::Finished);
         played
     };
     tokio::select! {
--- a/crates/cairnpulley/tests/cli.rs
+++ b/crates/cairnpulley/tests/cli.rs
@@ -34,7 +34,7 @@
 fn the_demo_keeps_all_promises_and_says_so_as_json() {
     let done = run(&["demo", "--seconds", "5", "--seed", "7", "--json", "--sender", &sender()]);
     let verdict: Verdict = serde_json::from_slice(&done.stdout).expect("a verdict");
-    assert!(verdict.breaks.is_empty(), "{:#?}", verdict.breaks);
+    assert!(verdict.violations.is_empty(), "{:#?}", verdict.violations);
     // On a busy machine the testbed is late itself, and says that instead.
     let code = if verdict.void.is_some() { 3 } else { 0 };
     assert_eq!(done.status.code(), Some(code));
@@ -57,10 +57,13 @@
 fn bad_input_is_exit_code_2_and_names_its_place() {
     for (text, place) in [
         ("seconds = 1\n[traffic]\nrite = 5\n", "line 3, column 1"),
-        ("seconds = 1\n[[event]]\nwhat = 'kill'\nat = 0.5\n", "line 3, column 8: it needs part or which"),
+        (
+            "seconds = 1\n[[event]]\nwhat = 'kill'\nat = 0.5\n",
+            "line 3, column 8: an event needs part or which",
+        ),
         ("seconds = 1\n[[event]]\nwhat = 'shot'\nat = 0.5\n", "line 3, column 8"),
-        ("seconds = 1\n[[event]]\nwhat = 'cut'\nat = 0.5\npart = 1.0\n", "it needs link"),
-        ("[[event]]\nwhat = 'kill'\nat = 0.5\nwhich = [3]\n", "there is no sender 3"),
+        ("seconds = 1\n[[event]]\nwhat = 'cut'\nat = 0.5\npart = 1.0\n", "an event on a link needs link"),
+        ("[[event]]\nwhat = 'kill'\nat = 0.5\nwhich = [3]\n", "which names sender 3, but there are 3"),
         ("seconds = 1e9\n", "seconds is 1000000000"),
     ] {
         let (_folder, path) = file(text);
--- a/crates/testbed/src/habits.rs
+++ b/crates/testbed/src/client_retry.rs
@@ -12,19 +12,19 @@
 
 /// What a message's `X-Second-Try` says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Try {
+pub enum TryKind {
     First,
     /// After a refusal.
-    Second,
+    AfterRefusal,
     /// After a sender that died or did not answer.
-    Again,
+    AfterNoAnswer,
 }
 
 /// How a hand-in ended, with the time after which to come again, where one is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum HandInEnd {
     /// Taken on, and not handed back; or failed for good.
-    Over,
+    Final,
     /// Refused, or handed back later.
     Refused(Option<Ns>),
     Unanswered,
@@ -32,47 +32,47 @@
 
 /// One client with one message.
 #[derive(Clone, Debug)]
-pub struct Client {
+pub struct RetryState {
     /// Whom it asks next, and as what.
     pub sender: u32,
-    pub which: Try,
+    pub try_kind: TryKind,
     due: Ns,
     retries: usize,
     agains: usize,
 }
 
-impl Client {
-    pub fn new(sender: u32, due: Ns) -> Client {
-        Client { sender, which: Try::First, due, retries: 1, agains: AGAIN }
+impl RetryState {
+    pub fn new(sender: u32, due: Ns) -> RetryState {
+        RetryState { sender, try_kind: TryKind::First, due, retries: 1, agains: AGAIN }
     }
 
     /// After how long it comes again, if it does; `senders` is how many there are.
     pub fn next(
         &mut self,
-        end: End,
+        end: HandInEnd,
         now: Ns,
         senders: u32,
         habits: &Clients,
         random: &mut impl Rng,
     ) -> Option<Ns> {
         let wait = match end {
-            End::Over => return None,
-            End::Refused(told) => {
+            HandInEnd::Final => return None,
+            HandInEnd::Refused(told) => {
                 if self.retries == 0 || random.random::<f64>() >= habits.retry {
                     return None;
                 }
                 self.retries -= 1;
-                self.which = Try::Second;
+                self.try_kind = TryKind::AfterRefusal;
                 let own = draw(random, habits.backoff_ms);
                 let heeds = random.random::<f64>() < habits.honour;
                 told.filter(|_| heeds).map_or(own, |t| t.clamp(0, HEEDED))
             }
-            End::Unanswered => {
+            HandInEnd::Unanswered => {
                 if self.agains == 0 {
                     return None;
                 }
                 self.agains -= 1;
-                self.which = Try::Again;
+                self.try_kind = TryKind::AfterNoAnswer;
                 if senders > 1 {
                     self.sender = (self.sender + random.random_range(1..senders)) % senders;
                 }
@@ -96,22 +96,30 @@
     fn a_refused_message_comes_once_more_and_an_unanswered_one_goes_to_others_until_its_time_is_up() {
         let habits = Clients { retry: 1.0, honour: 1.0, ..Clients::default() };
         let mut random = Seed(1).stream("habits", 0);
-        let mut client = Client::new(0, 20 * SECOND);
-        let told = End::Refused(Some(700 * MS));
+        let mut client = RetryState::new(0, 20 * SECOND);
+        let told = HandInEnd::Refused(Some(700 * MS));
         assert_eq!(client.next(told, 0, 3, &habits, &mut random), Some(700 * MS));
-        assert_eq!((client.sender, client.which), (0, Try::Second));
+        assert_eq!((client.sender, client.try_kind), (0, TryKind::AfterRefusal));
         assert_eq!(client.next(told, SECOND, 3, &habits, &mut random), None, "once at most");
         for _ in 0..AGAIN {
             let before = client.sender;
-            let wait = client.next(End::Unanswered, SECOND, 3, &habits, &mut random).expect("it comes again");
+            let wait =
+                client.next(HandInEnd::Unanswered, SECOND, 3, &habits, &mut random).expect("it comes again");
             assert!((420 * MS..=1_900 * MS).contains(&wait));
-            assert!(client.sender != before && client.sender < 3 && client.which == Try::Again);
+            assert!(
+                client.sender != before && client.sender < 3 && client.try_kind == TryKind::AfterNoAnswer
+            );
         }
-        assert_eq!(client.next(End::Unanswered, SECOND, 3, &habits, &mut random), None);
-        let mut late = Client::new(0, 20 * SECOND);
-        assert_eq!(late.next(End::Unanswered, 19_900 * MS, 3, &habits, &mut random), None);
-        let longer =
-            Client::new(0, 20 * SECOND).next(End::Refused(Some(9 * SECOND)), 0, 3, &habits, &mut random);
+        assert_eq!(client.next(HandInEnd::Unanswered, SECOND, 3, &habits, &mut random), None);
+        let mut late = RetryState::new(0, 20 * SECOND);
+        assert_eq!(late.next(HandInEnd::Unanswered, 19_900 * MS, 3, &habits, &mut random), None);
+        let longer = RetryState::new(0, 20 * SECOND).next(
+            HandInEnd::Refused(Some(9 * SECOND)),
+            0,
+            3,
+            &habits,
+            &mut random,
+        );
         assert_eq!(longer, Some(HEEDED));
     }
 }
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,11 +1,11 @@
 //! Clients on sockets: messages are handed in when the plan says so, whatever the senders do (open loop), with the
 //! patience and the habits of the protocol.
-use crate::clock::{seconds, span, Ns, MS};
-use crate::endpoints::Ground;
-use crate::habits::{Client, End, Try};
-use crate::http::{HttpError, Link, Message, Start};
-use crate::ledger::{Heard, MessageId, What};
-use crate::messages::{self, Handed};
+use crate::client_retry::{HandInEnd, RetryState, TryKind};
+use crate::clock::{from_seconds, to_duration, Ns, MS};
+use crate::endpoints::StubContext;
+use crate::facts::{FactKind, HandInResult, MessageId};
+use crate::http::{Connection, HttpError, Message, Start};
+use crate::messages::{self, NewMessage};
 use crate::plan::{Arrival, Plan};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -23,26 +23,26 @@
 /// A sender's door as its clients see it.
 struct Door {
     address: SocketAddr,
-    idle: Mutex<Vec<(Link, Instant)>>,
+    idle: Mutex<Vec<(Connection, Instant)>>,
 }
 
 struct Shared {
     plan: Arc<Plan>,
     doors: Vec<Door>,
-    ground: Ground,
+    ground: StubContext,
     /// The play's zero on the ground's clock.
     from: Ns,
 }
 
 /// Hands in all messages of the plan, from `from` on the ground's clock; ends once the clients are through with them.
-pub async fn run(plan: &Arc<Plan>, doors: &[SocketAddr], ground: &Ground, from: Ns) {
+pub async fn run(plan: &Arc<Plan>, doors: &[SocketAddr], ground: &StubContext, from: Ns) {
     let door = |address: &SocketAddr| Door { address: *address, idle: Mutex::default() };
     let doors = doors.iter().map(door).collect();
     let shared = Arc::new(Shared { plan: plan.clone(), doors, ground: ground.clone(), from });
     let mut clients = JoinSet::new();
     for (number, arrival) in plan.arrivals.iter().enumerate() {
         ground.clock.sleep_until(from + arrival.at).await;
-        ground.lateness.note(from + arrival.at, ground.clock.now());
+        ground.lag.note(from + arrival.at, ground.clock.now());
         clients.spawn(shared.clone().client(number as u32, arrival.clone()));
         while clients.try_join_next().is_some() {}
     }
@@ -56,18 +56,24 @@
         let (dest, class) = (arrival.dest, arrival.class);
         // The time of the plan counts, not that at which the testbed came to it.
         let planned = self.from + arrival.at;
-        self.ground.ledger.note(What::Asked { request, sender: arrival.sender, dest, class, planned });
+        self.ground.fact_log.record(FactKind::Requested {
+            request,
+            sender: arrival.sender,
+            dest,
+            class,
+            planned,
+        });
         let due = planned + self.plan.terms.classes[class].deadline;
-        let mut handed = Handed { dest, work: arrival.work, due, body: vec![0; arrival.size] };
+        let mut handed = NewMessage { dest, work: arrival.work, due, body: vec![0; arrival.size] };
         random.fill_bytes(&mut handed.body);
-        let mut client = Client::new(arrival.sender, due);
+        let mut client = RetryState::new(arrival.sender, due);
         loop {
             let end = self.hand_in(&mut random, request, &client, class, &handed).await;
             let (now, senders) = (self.ground.clock.now(), self.doors.len() as u32);
             let Some(wait) = client.next(end, now, senders, &self.plan.spec.clients, &mut random) else {
                 return;
             };
-            sleep(span(wait)).await;
+            sleep(to_duration(wait)).await;
         }
     }
 
@@ -75,45 +81,47 @@
         &self,
         random: &mut ChaCha8Rng,
         request: u32,
-        client: &Client,
+        client: &RetryState,
         class: usize,
-        handed: &Handed,
-    ) -> End {
+        handed: &NewMessage,
+    ) -> HandInEnd {
         let ground = &self.ground;
-        let (id, back) = ground.messages.enter(random, handed);
-        let head = self.head(id, class, client.which, handed);
+        let (id, back) = ground.messages.register(random, handed);
+        let head = self.head(id, class, client.try_kind, handed);
         let heard = self.ask(client.sender, request, id, &head, handed).await;
         let (heard, retry_after) = match &heard {
             Ok(answer) => (verdict(answer), retry_after(answer)),
             Err(heard) => (*heard, None),
         };
-        if heard == Heard::Taken {
-            ground.messages.taken(id);
+        if heard == HandInResult::Accepted {
+            ground.messages.note_accepted(id);
         }
-        ground.ledger.note(What::Heard { message: id, heard });
+        ground.fact_log.record(FactKind::HandInEnded { message: id, result: heard });
         match heard {
-            Heard::Taken => match timeout_at(ground.clock.instant(handed.due), back).await {
-                Ok(Ok(retry_in)) => End::Refused(retry_in),
-                _ => End::Over,
+            HandInResult::Accepted => match timeout_at(ground.clock.instant(handed.due), back).await {
+                Ok(Ok(retry_in)) => HandInEnd::Refused(retry_in),
+                _ => HandInEnd::Final,
             },
-            Heard::Refused => End::Refused(retry_after),
-            Heard::Failed => End::Over,
-            Heard::Silence | Heard::Closed | Heard::NoConnection => End::Unanswered,
+            HandInResult::Refused => HandInEnd::Refused(retry_after),
+            HandInResult::Failed => HandInEnd::Final,
+            HandInResult::TimedOut | HandInResult::Closed | HandInResult::NoConnection => {
+                HandInEnd::Unanswered
+            }
         }
     }
 
-    fn head(&self, id: MessageId, class: usize, which: Try, handed: &Handed) -> String {
+    fn head(&self, id: MessageId, class: usize, which: TryKind, handed: &NewMessage) -> String {
         let name = &self.plan.terms.classes[class].name;
         let left = (handed.due - self.ground.clock.now()).max(MS) / MS;
         let second = match which {
-            Try::First => "",
-            Try::Second => "X-Second-Try: 1\r\n",
-            Try::Again => "X-Second-Try: again\r\n",
+            TryKind::First => "",
+            TryKind::AfterRefusal => "X-Second-Try: 1\r\n",
+            TryKind::AfterNoAnswer => "X-Second-Try: again\r\n",
         };
         format!(
             "POST /{name} HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: {}\r\nX-Qos: {name}\r\n\
              X-Expires-In-Ms: {left}\r\n{second}Content-Length: {}\r\nX-Consignee: dest={}\r\n\r\n",
-            messages::name(id),
+            messages::format_id(id),
             handed.body.len(),
             handed.dest
         )
@@ -127,15 +135,15 @@
         request: u32,
         id: MessageId,
         head: &str,
-        handed: &Handed,
-    ) -> Result<Message, Heard> {
+        handed: &NewMessage,
+    ) -> Result<Message, HandInResult> {
         let until = Instant::now() + PATIENCE;
         let mut bytes = head.as_bytes().to_vec();
         bytes.extend_from_slice(&handed.body);
         let door = &self.doors[sender as usize];
         // Before it is written: what a sender does with it must not seem to come before it.
         let due = handed.due;
-        self.ground.ledger.note(What::HandedIn { message: id, request, sender, due });
+        self.ground.fact_log.record(FactKind::HandedIn { message: id, request, sender, due });
         if let Some(mut link) = door.kept() {
             if link.write(&bytes).await.is_ok() {
                 match answer(&mut link, until).await {
@@ -143,16 +151,16 @@
                         door.keep(link, &answer);
                         return Ok(answer);
                     }
-                    Err(Heard::Closed) => {}
+                    Err(HandInResult::Closed) => {}
                     Err(heard) => return Err(heard),
                 }
             }
         }
         let stream = timeout_at(until, TcpStream::connect(door.address)).await;
-        let Ok(Ok(stream)) = stream else { return Err(Heard::NoConnection) };
-        let mut link = Link::new(stream, self.ground.clock);
+        let Ok(Ok(stream)) = stream else { return Err(HandInResult::NoConnection) };
+        let mut link = Connection::new(stream, self.ground.clock);
         if link.write(&bytes).await.is_err() {
-            return Err(Heard::NoConnection);
+            return Err(HandInResult::NoConnection);
         }
         let answer = answer(&mut link, until).await?;
         door.keep(link, &answer);
@@ -161,7 +169,7 @@
 }
 
 impl Door {
-    fn kept(&self) -> Option<Link> {
+    fn kept(&self) -> Option<Connection> {
         let mut idle = self.idle.lock().expect("no holder panics");
         while let Some((link, since)) = idle.pop() {
             if since.elapsed() < IDLE {
@@ -171,31 +179,31 @@
         None
     }
 
-    fn keep(&self, link: Link, answer: &Message) {
-        if !answer.closes() && link.rest().is_empty() {
+    fn keep(&self, link: Connection, answer: &Message) {
+        if !answer.closes() && link.unread().is_empty() {
             self.idle.lock().expect("no holder panics").push((link, Instant::now()));
         }
     }
 }
 
-async fn answer(link: &mut Link, until: Instant) -> Result<Message, Heard> {
-    match timeout_at(until, link.read_answer()).await {
-        Err(_) => Err(Heard::Silence),
+async fn answer(link: &mut Connection, until: Instant) -> Result<Message, HandInResult> {
+    match timeout_at(until, link.read_response()).await {
+        Err(_) => Err(HandInResult::TimedOut),
         Ok(Ok(answer)) => Ok(answer),
-        Ok(Err(HttpError::Malformed(_))) => Err(Heard::Failed),
-        Ok(Err(_)) => Err(Heard::Closed),
+        Ok(Err(HttpError::Malformed(_))) => Err(HandInResult::Failed),
+        Ok(Err(_)) => Err(HandInResult::Closed),
     }
 }
 
-fn verdict(answer: &Message) -> Heard {
+fn verdict(answer: &Message) -> HandInResult {
     match answer.start {
-        Start::Status(200 | 202) => Heard::Taken,
-        Start::Status(429 | 503) => Heard::Refused,
-        _ => Heard::Failed,
+        Start::Status(200 | 202) => HandInResult::Accepted,
+        Start::Status(429 | 503) => HandInResult::Refused,
+        _ => HandInResult::Failed,
     }
 }
 
 fn retry_after(answer: &Message) -> Option<Ns> {
     let told: f64 = answer.header("retry-after")?.parse().ok()?;
-    (told.is_finite() && told >= 0.0).then(|| seconds(told))
+    (told.is_finite() && told >= 0.0).then(|| from_seconds(told))
 }
--- a/crates/testbed/src/clock.rs
+++ b/crates/testbed/src/clock.rs
@@ -21,17 +21,17 @@
     pub fn now(&self) -> Ns {
         let now = Instant::now();
         match now.checked_duration_since(self.origin) {
-            Some(since) => ns(since),
-            None => -ns(self.origin - now),
+            Some(since) => from_duration(since),
+            None => -from_duration(self.origin - now),
         }
     }
 
     /// The instant at which this clock reads `at`.
     pub fn instant(&self, at: Ns) -> Instant {
         if at >= 0 {
-            self.origin + span(at)
+            self.origin + to_duration(at)
         } else {
-            self.origin.checked_sub(span(-at)).unwrap_or(self.origin)
+            self.origin.checked_sub(to_duration(-at)).unwrap_or(self.origin)
         }
     }
 
@@ -40,15 +40,15 @@
     }
 }
 
-pub fn ns(span: Duration) -> Ns {
+pub fn from_duration(span: Duration) -> Ns {
     Ns::try_from(span.as_nanos()).unwrap_or(Ns::MAX)
 }
 
 /// A span as the standard library has it; a negative one is none.
-pub fn span(ns: Ns) -> Duration {
+pub fn to_duration(ns: Ns) -> Duration {
     Duration::from_nanos(ns.max(0) as u64)
 }
 
-pub fn seconds(s: f64) -> Ns {
+pub fn from_seconds(s: f64) -> Ns {
     (s * SECOND as f64) as Ns
 }
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -5,37 +5,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Where the interval's upper bound lies: at 95% in all.
-const UPPER: f64 = 0.975;
+const UPPER_QUANTILE: f64 = 0.975;
 /// Fewer pairs say nothing of their spread.
-pub const LEAST_PAIRS: usize = 3;
+pub const MIN_PAIRS: usize = 3;
 
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum CompareError {
-    #[error("only {0} seeds were played on both sides and not void; {LEAST_PAIRS} at least are needed")]
+    #[error("only {0} seeds were played on both sides and not void; {MIN_PAIRS} at least are needed")]
     Pairs(usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Word {
+pub enum Assessment {
     Better,
     Worse,
-    InsideTheNoise,
+    #[serde(rename = "inside-the-noise")]
+    NotSignificant,
 }
 
-impl Word {
+impl Assessment {
     pub fn name(self) -> &'static str {
         match self {
-            Word::Better => "better",
-            Word::Worse => "worse",
-            Word::InsideTheNoise => "inside the noise",
+            Assessment::Better => "better",
+            Assessment::Worse => "worse",
+            Assessment::NotSignificant => "inside the noise",
         }
     }
 }
 
 /// One figure of the two sides.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Line {
+pub struct FigureComparison {
     pub figure: &'static str,
     pub a: f64,
     pub b: f64,
@@ -43,7 +44,8 @@
     pub low: f64,
     pub high: f64,
     /// Of B, as against A.
-    pub word: Word,
+    #[serde(rename = "word")]
+    pub assessment: Assessment,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -53,7 +55,7 @@
     pub left_out: Vec<u64>,
     /// Plays with a broken rule.
     pub broken: [usize; 2],
-    pub lines: Vec<Line>,
+    pub lines: Vec<FigureComparison>,
 }
 
 /// A figure's name, how to read it, and whether more is better.
@@ -83,7 +85,7 @@
     let seeds: BTreeSet<u64> = a.keys().chain(b.keys()).copied().collect();
     let (both, left_out): (Vec<u64>, Vec<u64>) =
         seeds.into_iter().partition(|seed| sound(a.get(seed)) && sound(b.get(seed)));
-    if both.len() < LEAST_PAIRS {
+    if both.len() < MIN_PAIRS {
         return Err(CompareError::Pairs(both.len()));
     }
     let pairs: Vec<(&Verdict, &Verdict)> = both.iter().map(|seed| (&a[seed], &b[seed])).collect();
@@ -91,7 +93,7 @@
     Ok(Comparison {
         pairs: pairs.len(),
         left_out,
-        broken: [broken(|p| !p.0.breaks.is_empty()), broken(|p| !p.1.breaks.is_empty())],
+        broken: [broken(|p| !p.0.violations.is_empty()), broken(|p| !p.1.violations.is_empty())],
         lines: FIGURES.iter().map(|figure| line(figure, &pairs)).collect(),
     })
 }
@@ -101,18 +103,18 @@
     values.sum::<f64>() / count
 }
 
-fn line((figure, of, more): &Figure, pairs: &[(&Verdict, &Verdict)]) -> Line {
+fn line((figure, of, more): &Figure, pairs: &[(&Verdict, &Verdict)]) -> FigureComparison {
     let differences: Vec<f64> = pairs.iter().map(|(a, b)| of(b) - of(a)).collect();
     let (low, high) = interval(&differences);
-    let word = match (low > 0.0, high < 0.0) {
-        (true, _) if *more => Word::Better,
-        (true, _) => Word::Worse,
-        (_, true) if *more => Word::Worse,
-        (_, true) => Word::Better,
-        _ => Word::InsideTheNoise,
+    let assessment = match (low > 0.0, high < 0.0) {
+        (true, _) if *more => Assessment::Better,
+        (true, _) => Assessment::Worse,
+        (_, true) if *more => Assessment::Worse,
+        (_, true) => Assessment::Better,
+        _ => Assessment::NotSignificant,
     };
     let (a, b) = (mean(pairs.iter().map(|p| of(p.0))), mean(pairs.iter().map(|p| of(p.1))));
-    Line { figure, a, b, low, high, word }
+    FigureComparison { figure, a, b, low, high, assessment }
 }
 
 /// Of the mean of paired differences, by Student's distribution.
@@ -121,7 +123,7 @@
     let middle = mean(differences.iter().copied());
     let spread = differences.iter().map(|d| (d - middle).powi(2)).sum::<f64>() / (count - 1.0);
     // Two differences at least, so there is a degree of freedom.
-    let t = StudentsT::new(0.0, 1.0, count - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(UPPER));
+    let t = StudentsT::new(0.0, 1.0, count - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(UPPER_QUANTILE));
     let half = t * (spread / count).sqrt();
     (middle - half, middle + half)
 }
@@ -140,10 +142,10 @@
             counts: Counts { asked: 100, ..Counts::default() },
             service: Service { g, ..Service::default() },
             latency: Latency::default(),
-            breaks: Vec::new(),
+            violations: Vec::new(),
             void: None,
             lateness_p99_ms: 0.0,
-            holds: None,
+            max_senders: None,
         }
     }
 
@@ -158,10 +160,10 @@
         let noise = |seed: u64| if seed.is_multiple_of(2) { 0.002 } else { -0.002 };
         let a = side(by_seed);
         let g = |b: &[Verdict]| compare(&a, b).unwrap().lines[0].clone();
-        assert_eq!(g(&side(|s| by_seed(s) - 0.01 + noise(s))).word, Word::Worse);
-        assert_eq!(g(&side(|s| by_seed(s) + 0.01 + noise(s))).word, Word::Better);
-        assert_eq!(g(&side(|s| by_seed(s) + noise(s))).word, Word::InsideTheNoise);
-        assert_eq!(g(&a).word, Word::InsideTheNoise);
+        assert_eq!(g(&side(|s| by_seed(s) - 0.01 + noise(s))).assessment, Assessment::Worse);
+        assert_eq!(g(&side(|s| by_seed(s) + 0.01 + noise(s))).assessment, Assessment::Better);
+        assert_eq!(g(&side(|s| by_seed(s) + noise(s))).assessment, Assessment::NotSignificant);
+        assert_eq!(g(&a).assessment, Assessment::NotSignificant);
         // Eight pairs of a spread of 0.002138: 2.365 of it over the root of eight.
         let line = g(&side(|s| by_seed(s) + noise(s)));
         assert!((line.high - 0.001_788).abs() < 1e-5 && (line.low + line.high).abs() < 1e-9, "{line:?}");
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,15 +1,15 @@
 //! Discovery on sockets: the list, watches on it, the notices; and what goes wrong with them.
 use crate::addresses;
-use crate::clock::{seconds, span, Ns, MS};
-use crate::endpoints::{Endpoints, Ground};
-use crate::http::{self, Link, Start};
-use crate::ledger::{Notice, What};
+use crate::clock::{from_seconds, to_duration, Ns, MS};
+use crate::endpoints::{Endpoints, StubContext};
+use crate::facts::{FactKind, Notice};
+use crate::http::{self, Connection, Start};
 use crate::links::Links;
 use crate::messages;
 use crate::plan::{zone_name, Plan};
-use crate::platform::limit::{Form, Limit};
-use crate::platform::list::{Lifecycle, List, Told};
-use crate::spec::{Kind, Link as Hurt};
+use crate::platform::limit::{Limit, LimitKind};
+use crate::platform::list::{EndpointList, Lifecycle, ListUpdate};
+use crate::spec::{EventKind, Link};
 use rand::RngExt;
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -40,7 +40,7 @@
 type Change = (Instant, u32, Lifecycle);
 
 struct Shared {
-    list: Mutex<List>,
+    list: Mutex<EndpointList>,
     /// The list's version as far as it is told.
     news: watch::Sender<u64>,
     mood: watch::Sender<Mood>,
@@ -49,7 +49,7 @@
     endpoints: Arc<Endpoints>,
     links: Arc<Links>,
     plan: Arc<Plan>,
-    ground: Ground,
+    ground: StubContext,
     late: Mutex<rand_chacha::ChaCha8Rng>,
     /// What it answers while it is crowded.
     limit: Mutex<Limit>,
@@ -67,10 +67,10 @@
         plan: &Arc<Plan>,
         endpoints: &Arc<Endpoints>,
         links: &Arc<Links>,
-        ground: &Ground,
+        ground: &StubContext,
     ) -> io::Result<Discovery> {
         let listed = plan.endpoints.iter().enumerate().filter(|(_, e)| e.listed).map(|(i, _)| i as u32);
-        let list = List::new(listed);
+        let list = EndpointList::new(listed);
         let shared = Arc::new(Shared {
             news: watch::Sender::new(list.generation()),
             list: Mutex::new(list),
@@ -81,7 +81,7 @@
             plan: plan.clone(),
             ground: ground.clone(),
             late: Mutex::new(plan.seed.stream("notices", 0)),
-            limit: Mutex::new(Limit::new(Form::Rate, 1.0, false)),
+            limit: Mutex::new(Limit::new(LimitKind::Rate, 1.0, false)),
         });
         let addresses = Mutex::new(open(&shared)?);
         let (changes, to_tell) = mpsc::unbounded_channel();
@@ -100,28 +100,28 @@
 
     /// An endpoint changes; discovery tells so late as the experiment has it, and nothing before what came earlier.
     pub fn change(&self, endpoint: u32, lifecycle: Lifecycle) {
-        self.shared.ground.ledger.note(What::Changed { endpoint, lifecycle });
+        self.shared.ground.fact_log.record(FactKind::EndpointChanged { endpoint, lifecycle });
         let [low, high] = self.shared.plan.spec.platform.notice_s;
         let share: f64 = self.shared.late.lock().expect("no holder panics").random();
-        let at = Instant::now() + span(seconds(low + (high - low) * share));
+        let at = Instant::now() + to_duration(from_seconds(low + (high - low) * share));
         // It ends with the play.
         let _ = self.changes.send((at, endpoint, lifecycle));
     }
 
-    pub fn trouble(&self, kind: Kind, size: f64, begins: bool) {
-        if kind == Kind::DiscoveryResets {
+    pub fn trouble(&self, kind: EventKind, size: f64, begins: bool) {
+        if kind == EventKind::DiscoveryResets {
             let mut list = self.shared.list.lock().expect("no holder panics");
             list.forget();
             self.shared.news.send_replace(list.generation());
             return;
         }
-        if kind == Kind::DiscoveryCrowded {
-            *self.shared.limit.lock().expect("no holder panics") = Limit::new(Form::Rate, size, false);
+        if kind == EventKind::DiscoveryCrowded {
+            *self.shared.limit.lock().expect("no holder panics") = Limit::new(LimitKind::Rate, size, false);
         }
         let mood = match (kind, begins) {
-            (Kind::DiscoverySilent, true) => Mood::Silent,
-            (Kind::DiscoveryRefuses, true) => Mood::Refuses,
-            (Kind::DiscoveryCrowded, true) => Mood::Crowded,
+            (EventKind::DiscoverySilent, true) => Mood::Silent,
+            (EventKind::DiscoveryRefuses, true) => Mood::Refuses,
+            (EventKind::DiscoveryCrowded, true) => Mood::Crowded,
             _ => Mood::Answers,
         };
         self.shared.mood.send_replace(mood);
@@ -140,7 +140,7 @@
     for sender in 0..shared.plan.senders.len() as u32 {
         let at = addresses::free()?;
         tokio::spawn(shared.clone().accept(sender, addresses::listen(at)?));
-        addresses.push(shared.links.front(Hurt::Discovery, sender, at)?);
+        addresses.push(shared.links.front(Link::Discovery, sender, at)?);
     }
     Ok(addresses)
 }
@@ -172,7 +172,7 @@
                     let Ok((stream, _)) = accepted else { continue };
                     let (shared, mut moves) = (self.clone(), self.moves.subscribe());
                     tokio::spawn(async move {
-                        let link = Link::new(stream, shared.ground.clock);
+                        let link = Connection::new(stream, shared.ground.clock);
                         let moved = async {
                             let _ = moves.changed().await;
                             tokio::time::sleep(CLOSES).await;
@@ -187,7 +187,7 @@
         }
     }
 
-    async fn serve(&self, sender: u32, mut link: Link) {
+    async fn serve(&self, sender: u32, mut link: Connection) {
         while let Ok(request) = link.read_request().await {
             let answer = match &request.start {
                 Start::Request { method, path } if method == "POST" && path == "/reports" => {
@@ -196,10 +196,10 @@
                 Start::Request { method, path } if method == "GET" => {
                     match path.split_once('?').unwrap_or((path, "")) {
                         ("/v1/servers", query) => self.list(sender, &mut link, query).await,
-                        _ => Some(http::answer(404, "", b"")),
+                        _ => Some(http::response(404, "", b"")),
                     }
                 }
-                _ => Some(http::answer(404, "", b"")),
+                _ => Some(http::response(404, "", b"")),
             };
             let Some(answer) = answer else { return };
             if link.write(&answer).await.is_err() || request.closes() {
@@ -211,24 +211,24 @@
     fn notices(&self, sender: u32, body: &[u8]) -> Option<Vec<u8>> {
         let lines = body.split(|b| *b == b'\n').filter(|l| !l.is_empty());
         let read: Result<Vec<NoticeLine>, _> = lines.map(serde_json::from_slice).collect();
-        let Ok(read) = read else { return Some(http::answer(400, "", b"")) };
+        let Ok(read) = read else { return Some(http::response(400, "", b"")) };
         for line in read {
-            let Some(message) = messages::parse(&line.message) else { continue };
+            let Some(message) = messages::parse_id(&line.message) else { continue };
             let notice = line.outcome;
-            self.ground.ledger.note(What::Notice { message, sender, notice });
+            self.ground.fact_log.record(FactKind::Notice { message, sender, notice });
             match notice {
-                Notice::GivenUp => self.ground.messages.ended(message),
+                Notice::GivenUp => self.ground.messages.note_ended(message),
                 Notice::HandedBack => {
                     let retry_in = line.retry_in_ms.map(|ms| (ms * MS as f64) as Ns);
-                    self.ground.messages.handed_back(message, retry_in);
+                    self.ground.messages.note_handed_back(message, retry_in);
                 }
             }
         }
-        Some(http::answer(204, "", b""))
+        Some(http::response(204, "", b""))
     }
 
     /// The answer to a list or a watch; none where the sender leaves first.
-    async fn list(&self, sender: u32, link: &mut Link, query: &str) -> Option<Vec<u8>> {
+    async fn list(&self, sender: u32, link: &mut Connection, query: &str) -> Option<Vec<u8>> {
         let of = |key: &str| {
             let pair = query.split('&').find_map(|p| p.split_once('=').filter(|(k, _)| *k == key));
             pair.and_then(|(_, v)| v.parse::<u64>().ok())
@@ -255,11 +255,11 @@
                 }
                 Some(self.list.lock().expect("no holder panics").since(index))
             } => told,
-            () = link.ended() => return None,
+            () = link.closed() => return None,
         };
-        let Some(told) = told else { return Some(http::answer(503, "", b"")) };
+        let Some(told) = told else { return Some(http::response(503, "", b"")) };
         self.note(sender, &told);
-        Some(http::answer(
+        Some(http::response(
             200,
             "Content-Type: application/json\r\n",
             self.form(sender, &told).to_string().as_bytes(),
@@ -271,23 +271,23 @@
     }
 
     /// What the sender knows from now on. A whole list tells of endpoints that are gone by leaving them out.
-    fn note(&self, sender: u32, told: &Told) {
+    fn note(&self, sender: u32, told: &ListUpdate) {
         for entry in &told.entries {
             let (endpoint, lifecycle) = (entry.endpoint, entry.lifecycle);
             if !told.reset || lifecycle != Lifecycle::Ready {
-                self.ground.ledger.note(What::Told { sender, endpoint, lifecycle });
+                self.ground.fact_log.record(FactKind::ChangeSent { sender, endpoint, lifecycle });
             }
         }
         if told.reset && told.generation > 1 {
             let all = self.list.lock().expect("no holder panics").gone();
             for endpoint in all {
                 let lifecycle = Lifecycle::Gone;
-                self.ground.ledger.note(What::Told { sender, endpoint, lifecycle });
+                self.ground.fact_log.record(FactKind::ChangeSent { sender, endpoint, lifecycle });
             }
         }
     }
 
-    fn form(&self, sender: u32, told: &Told) -> Value {
+    fn form(&self, sender: u32, told: &ListUpdate) -> Value {
         let instances: Vec<Value> = told
             .entries
             .iter()
--- a/crates/testbed/src/endpoints.rs
+++ b/crates/testbed/src/endpoints.rs
@@ -2,15 +2,15 @@
 //! of a call is decided by `platform::destination`; here it is carried out.
 use crate::addresses::{self, Door};
 use crate::clock::{Clock, Ns, MS};
-use crate::http::{self, HttpError, Link, Message, Start};
-use crate::lateness::Lateness;
-use crate::ledger::{Ledger, Reply, What};
+use crate::facts::{FactKind, FactLog, Reply};
+use crate::http::{self, Connection, HttpError, Message, Start};
 use crate::links::Links;
-use crate::messages::{self, Messages};
+use crate::messages::{self, MessageRegistry};
 use crate::plan::Plan;
-use crate::platform::destination::{Answer, Call, CallNo, Destination, Out, Refusal};
+use crate::platform::destination::{Answer, Call, CallNumber, Destination, Output, Refusal};
 use crate::platform::list::Lifecycle;
-use crate::spec::{Kind, Link as Hurt};
+use crate::scheduling_lag::SchedulingLag;
+use crate::spec::{EventKind, Link};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -39,11 +39,11 @@
 
 /// What all stand-ins share.
 #[derive(Clone)]
-pub struct Ground {
+pub struct StubContext {
     pub clock: Clock,
-    pub ledger: Arc<Ledger>,
-    pub lateness: Arc<Lateness>,
-    pub messages: Arc<Messages>,
+    pub fact_log: Arc<FactLog>,
+    pub lag: Arc<SchedulingLag>,
+    pub messages: Arc<MessageRegistry>,
     /// Why the play says nothing of the senders, where something of the testbed's own went wrong.
     pub void: mpsc::UnboundedSender<String>,
 }
@@ -51,7 +51,7 @@
 struct Inner {
     core: Destination,
     /// Where the calls that are out wait for what becomes of them.
-    waiting: HashMap<CallNo, mpsc::UnboundedSender<Out>>,
+    waiting: HashMap<CallNumber, mpsc::UnboundedSender<Output>>,
 }
 
 struct Dest {
@@ -74,7 +74,7 @@
     /// By endpoint, then by sender.
     addresses: Vec<Vec<SocketAddr>>,
     dest_of: Vec<u32>,
-    ground: Ground,
+    ground: StubContext,
 }
 
 /// What a connection's task needs.
@@ -92,12 +92,12 @@
     max_attempts: usize,
     handshake: Duration,
     calls: Arc<AtomicU64>,
-    ground: Ground,
+    ground: StubContext,
 }
 
 impl Endpoints {
     /// Listens at an address of its own for each endpoint and sender. Those not listed yet refuse connections.
-    pub fn start(plan: &Plan, links: &Links, ground: &Ground) -> io::Result<Endpoints> {
+    pub fn start(plan: &Plan, links: &Links, ground: &StubContext) -> io::Result<Endpoints> {
         let calls = Arc::new(AtomicU64::new(1));
         let out: Vec<Arc<AtomicUsize>> = plan.senders.iter().map(|_| Arc::default()).collect();
         let mut dests = Vec::new();
@@ -121,7 +121,7 @@
                 let room = Arc::new(Room { connections: AtomicUsize::new(0), most });
                 for (sender, one) in plan.senders.iter().enumerate() {
                     let at = addresses::free()?;
-                    addresses[*endpoint as usize].push(links.front(Hurt::Endpoints, sender as u32, at)?);
+                    addresses[*endpoint as usize].push(links.front(Link::Endpoints, sender as u32, at)?);
                     let place = Place {
                         dest: dest.clone(),
                         place,
@@ -149,14 +149,14 @@
         self.addresses[endpoint as usize][sender as usize]
     }
 
-    pub fn begin(&self, dest: u32, kind: Kind, size: f64, until: Ns) {
+    pub fn begin(&self, dest: u32, kind: EventKind, size: f64, until: Ns) {
         let dest = &self.dests[dest as usize];
         dest.note(&self.ground, kind, true);
         dest.with(&self.ground, |core, now| core.begin(now, kind, size, until));
         dest.show();
     }
 
-    pub fn end(&self, dest: u32, kind: Kind) {
+    pub fn end(&self, dest: u32, kind: EventKind) {
         let dest = &self.dests[dest as usize];
         dest.note(&self.ground, kind, false);
         dest.with(&self.ground, |core, now| {
@@ -189,27 +189,27 @@
 }
 
 impl Dest {
-    fn note(&self, ground: &Ground, kind: Kind, begins: bool) {
-        ground.ledger.note(What::Trouble { dest: self.number, kind, begins });
+    fn note(&self, ground: &StubContext, kind: EventKind, begins: bool) {
+        ground.fact_log.record(FactKind::DestinationFault { dest: self.number, kind, begins });
     }
 
     /// Lets the core act, and passes on what comes out.
-    fn with(&self, ground: &Ground, act: impl FnOnce(&mut Destination, Ns) -> Vec<Out>) {
+    fn with(&self, ground: &StubContext, act: impl FnOnce(&mut Destination, Ns) -> Vec<Output>) {
         let mut inner = self.inner.lock().expect("no holder panics");
         let outs = act(&mut inner.core, ground.clock.now());
         let mut fell = false;
         for out in outs {
             let call = match out {
-                Out::Effect { call } => {
-                    ground.ledger.note(What::Effect { call });
+                Output::Effect { call } => {
+                    ground.fact_log.record(FactKind::Effect { call });
                     continue;
                 }
-                Out::Fell { place } => {
-                    ground.ledger.note(What::Fell { endpoint: self.endpoints[place] });
+                Output::OverloadFailure { place } => {
+                    ground.fact_log.record(FactKind::OverloadFailure { endpoint: self.endpoints[place] });
                     fell = true;
                     continue;
                 }
-                Out::Begin { call, .. } | Out::Answer { call, .. } => call,
+                Output::Begin { call, .. } | Output::Answer { call, .. } => call,
             };
             // Its connection may have ended by now.
             let _ = inner.waiting.get(&call).map(|to| to.send(out));
@@ -287,9 +287,9 @@
 
     async fn serve(self, stream: TcpStream) {
         let (held, _held) = Count::up(&self.room.connections);
-        self.ground.ledger.note(What::Connected { sender: self.sender, endpoint: self.endpoint });
+        self.ground.fact_log.record(FactKind::Connected { sender: self.sender, endpoint: self.endpoint });
         let mut phase = self.dest.phases[self.place].subscribe();
-        let mut link = Link::new(stream, self.ground.clock);
+        let mut link = Connection::new(stream, self.ground.clock);
         let crowded = held >= self.room.most;
         let broken = tokio::select! {
             biased;
@@ -302,13 +302,13 @@
     }
 
     /// Reads and answers calls until the connection ends. True where it is to end with a reset.
-    async fn exchange(&self, link: &mut Link, crowded: bool) -> bool {
+    async fn exchange(&self, link: &mut Connection, crowded: bool) -> bool {
         let mut fresh = true;
         loop {
             let request = match link.read_request().await {
                 Ok(request) => request,
                 Err(HttpError::Malformed(_)) => {
-                    let _ = link.write(&http::answer(400, "Connection: close\r\n", b"")).await;
+                    let _ = link.write(&http::response(400, "Connection: close\r\n", b"")).await;
                     return false;
                 }
                 Err(_) => return false,
@@ -322,16 +322,16 @@
                     if method == "GET" && (path == "/healthz" || path == "/load") =>
                 {
                     let (sender, endpoint) = (self.sender, self.endpoint);
-                    self.ground.ledger.note(What::Probed { sender, endpoint });
+                    self.ground.fact_log.record(FactKind::Probed { sender, endpoint });
                     let mut serves = false;
                     self.dest.with(&self.ground, |core, now| {
                         serves = core.probe(now);
                         Vec::new()
                     });
                     let status = if serves { 200 } else { 503 };
-                    link.write(&http::answer(status, "", b"")).await.is_ok().then_some(false)
+                    link.write(&http::response(status, "", b"")).await.is_ok().then_some(false)
                 }
-                _ => link.write(&http::answer(404, "", b"")).await.is_ok().then_some(false),
+                _ => link.write(&http::response(404, "", b"")).await.is_ok().then_some(false),
             };
             match goes_on {
                 Some(false) if !closes => {}
@@ -342,15 +342,21 @@
     }
 
     /// One call. Whether the connection is to be reset, or none where it has ended or is to end.
-    async fn call(&self, link: &mut Link, request: &Message, crowded: bool, fresh: bool) -> Option<bool> {
+    async fn call(
+        &self,
+        link: &mut Connection,
+        request: &Message,
+        crowded: bool,
+        fresh: bool,
+    ) -> Option<bool> {
         let ground = &self.ground;
-        let Some(id) = request.header("x-trace-id").and_then(messages::parse) else {
-            ground.ledger.note(What::Nameless { sender: self.sender, endpoint: self.endpoint });
-            return link.write(&http::answer(400, "", b"")).await.is_ok().then_some(false);
+        let Some(id) = request.header("x-trace-id").and_then(messages::parse_id) else {
+            ground.fact_log.record(FactKind::CallWithoutId { sender: self.sender, endpoint: self.endpoint });
+            return link.write(&http::response(400, "", b"")).await.is_ok().then_some(false);
         };
-        let known = ground.messages.call(id, &request.body);
+        let known = ground.messages.note_call(id, &request.body);
         let number = self.calls.fetch_add(1, Ordering::Relaxed);
-        ground.ledger.note(What::Called {
+        ground.fact_log.record(FactKind::CallReceived {
             call: number,
             message: id,
             sender: self.sender,
@@ -363,28 +369,28 @@
         }
         let (out, held) = Count::up(&self.out);
         let refusal = match known {
-            None => Some(Refusal::Stray),
-            Some(k) if k.dest != self.dest.number => Some(Refusal::Stray),
+            None => Some(Refusal::UnknownMessage),
+            Some(k) if k.dest != self.dest.number => Some(Refusal::UnknownMessage),
             Some(k) if k.attempts > self.max_attempts => Some(Refusal::Attempts),
-            Some(k) if ground.clock.now() > k.due + OVER => Some(Refusal::Over),
+            Some(k) if ground.clock.now() > k.due + OVER => Some(Refusal::Expired),
             _ if crowded => Some(Refusal::Connections),
             _ if out >= self.slots => Some(Refusal::Slots),
             _ => None,
         };
         let answer = match (refusal, known) {
             (None, Some(known)) => self.serve_call(link, number, known.work).await,
-            (refusal, _) => Some(Answer::Refused(refusal.unwrap_or(Refusal::Stray), None)),
+            (refusal, _) => Some(Answer::Refused(refusal.unwrap_or(Refusal::UnknownMessage), None)),
         };
         drop(held);
         let Some(answer) = answer else {
-            ground.ledger.note(What::Left { call: number });
+            ground.fact_log.record(FactKind::CallAbandoned { call: number });
             return None;
         };
         self.answer(link, number, id, answer).await
     }
 
     /// Waits for what becomes of a call; none where its connection ended first.
-    async fn serve_call(&self, link: &mut Link, number: CallNo, work: Ns) -> Option<Answer> {
+    async fn serve_call(&self, link: &mut Connection, number: CallNumber, work: Ns) -> Option<Answer> {
         let (to, mut outs) = mpsc::unbounded_channel();
         self.dest.inner.lock().expect("no holder panics").waiting.insert(number, to);
         // Also where the task is dropped at a phase's end: the core has then ended the call by itself.
@@ -396,15 +402,15 @@
             tokio::select! {
                 biased;
                 out = outs.recv() => match out? {
-                    Out::Begin { until: at, .. } => until = Some(at),
-                    Out::Answer { answer, .. } => return Some(answer),
-                    Out::Effect { .. } | Out::Fell { .. } => {}
+                    Output::Begin { until: at, .. } => until = Some(at),
+                    Output::Answer { answer, .. } => return Some(answer),
+                    Output::Effect { .. } | Output::OverloadFailure { .. } => {}
                 },
                 () = self.ground.clock.sleep_until(until.unwrap_or(Ns::MAX / 2)), if until.is_some() => {
-                    self.ground.lateness.note(until.take().unwrap_or_default(), self.ground.clock.now());
+                    self.ground.lag.note(until.take().unwrap_or_default(), self.ground.clock.now());
                     self.dest.with(&self.ground, |core, now| core.finish(now, place, number));
                 }
-                () = link.ended() => {
+                () = link.closed() => {
                     self.dest.with(&self.ground, |core, now| core.gone(now, place, number));
                     return None;
                 }
@@ -412,18 +418,20 @@
         }
     }
 
-    async fn answer(&self, link: &mut Link, call: CallNo, id: u64, answer: Answer) -> Option<bool> {
-        let ledger = &self.ground.ledger;
+    async fn answer(&self, link: &mut Connection, call: CallNumber, id: u64, answer: Answer) -> Option<bool> {
+        let fact_log = &self.ground.fact_log;
         let seconds = |w: Ns| format!("Retry-After: {:.3}\r\n", w as f64 / 1e9);
         let (bytes, reply) = match answer {
-            Answer::Served => (http::answer(200, "", b""), Reply::Delivered),
-            Answer::Spoilt => (b"HTTP/1.1 200 OK\r\nContent-Length: ten\r\n\r\n".to_vec(), Reply::Delivered),
-            Answer::Error => (http::answer(500, "", b""), Reply::Error),
+            Answer::Served => (http::response(200, "", b""), Reply::Delivered),
+            Answer::Malformed => {
+                (b"HTTP/1.1 200 OK\r\nContent-Length: ten\r\n\r\n".to_vec(), Reply::Delivered)
+            }
+            Answer::Error => (http::response(500, "", b""), Reply::Error),
             Answer::Refused(why, wait) => {
                 let (status, headers) = match why {
-                    Refusal::Stray => (400, String::new()),
+                    Refusal::UnknownMessage => (400, String::new()),
                     Refusal::Attempts => (504, String::new()),
-                    Refusal::Over => (410, String::new()),
+                    Refusal::Expired => (410, String::new()),
                     Refusal::Slots => (503, "X-Line-Busy: 1\r\n".to_string()),
                     Refusal::Connections => (503, "Connection: close\r\n".to_string()),
                     _ => match wait {
@@ -431,28 +439,28 @@
                         None => (503, String::new()),
                     },
                 };
-                (http::answer(status, &headers, b""), Reply::Refused { why, wait })
+                (http::response(status, &headers, b""), Reply::Refused { why, wait })
             }
             Answer::Reset => {
-                ledger.note(What::Replied { call, reply: Reply::Broken });
+                fact_log.record(FactKind::Replied { call, reply: Reply::Broken });
                 return Some(true);
             }
-            Answer::Nothing => {
-                link.ended().await;
-                ledger.note(What::Left { call });
+            Answer::NoAnswer => {
+                link.closed().await;
+                fact_log.record(FactKind::CallAbandoned { call });
                 return None;
             }
         };
         // Before it is written: what the sender does on it must not seem to come before it.
-        ledger.note(What::Replied { call, reply });
+        fact_log.record(FactKind::Replied { call, reply });
         if link.write(&bytes).await.is_err() {
-            ledger.note(What::Replied { call, reply: Reply::Broken });
+            fact_log.record(FactKind::Replied { call, reply: Reply::Broken });
             return None;
         }
-        if reply == Reply::Delivered || matches!(reply, Reply::Refused { why: Refusal::Over, .. }) {
-            self.ground.messages.ended(id);
+        if reply == Reply::Delivered || matches!(reply, Reply::Refused { why: Refusal::Expired, .. }) {
+            self.ground.messages.note_ended(id);
         }
-        let ends = matches!(answer, Answer::Spoilt | Answer::Refused(Refusal::Connections, _));
+        let ends = matches!(answer, Answer::Malformed | Answer::Refused(Refusal::Connections, _));
         (!ends).then_some(false)
     }
 }
@@ -476,7 +484,7 @@
 /// Takes a call's place among those that wait away, however its wait ends.
 struct Waiting<'a> {
     dest: &'a Dest,
-    number: CallNo,
+    number: CallNumber,
 }
 
 impl Drop for Waiting<'_> {
--- a/crates/testbed/src/http.rs
+++ b/crates/testbed/src/http.rs
@@ -23,7 +23,7 @@
 
 impl HttpError {
     /// The peer ended the connection, orderly or not.
-    pub fn is_end(&self) -> bool {
+    pub fn is_disconnect(&self) -> bool {
         !matches!(self, HttpError::Malformed(_))
     }
 }
@@ -58,7 +58,7 @@
 }
 
 /// One connection with what was read ahead on it.
-pub struct Link {
+pub struct Connection {
     stream: TcpStream,
     buffer: BytesMut,
     clock: Clock,
@@ -71,11 +71,11 @@
     body: usize,
 }
 
-impl Link {
-    pub fn new(stream: TcpStream, clock: Clock) -> Link {
+impl Connection {
+    pub fn new(stream: TcpStream, clock: Clock) -> Connection {
         // Heads and bodies go out in one write each; waiting for more would only delay them.
         let _ = stream.set_nodelay(true);
-        Link { stream, buffer: BytesMut::new(), clock }
+        Connection { stream, buffer: BytesMut::new(), clock }
     }
 
     pub async fn read_request(&mut self) -> Result<Message, HttpError> {
@@ -83,12 +83,12 @@
     }
 
     /// Reads an answer; `HttpError::Ended` where the connection ends before its first byte.
-    pub async fn read_answer(&mut self) -> Result<Message, HttpError> {
-        self.read(answer_head).await
+    pub async fn read_response(&mut self) -> Result<Message, HttpError> {
+        self.read(response_head).await
     }
 
     /// Bytes that came and were not taken as a message.
-    pub fn rest(&self) -> &[u8] {
+    pub fn unread(&self) -> &[u8] {
         &self.buffer
     }
 
@@ -97,7 +97,7 @@
         parse: impl Fn(&[u8]) -> Result<Option<Head>, HttpError>,
     ) -> Result<Message, HttpError> {
         if self.buffer.is_empty() {
-            self.more().await?;
+            self.read_more().await?;
         }
         let first = self.clock.now();
         loop {
@@ -106,7 +106,7 @@
                     return Err(HttpError::Malformed(format!("a body of {} bytes", head.body)));
                 }
                 while self.buffer.len() < head.length + head.body {
-                    self.more().await?;
+                    self.read_more().await?;
                 }
                 let last = self.clock.now();
                 self.buffer.advance(head.length);
@@ -116,11 +116,11 @@
             if self.buffer.len() > MAX_HEAD {
                 return Err(HttpError::Malformed("headers without end".into()));
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 
-    async fn more(&mut self) -> Result<(), HttpError> {
+    async fn read_more(&mut self) -> Result<(), HttpError> {
         match self.stream.read_buf(&mut self.buffer).await? {
             0 => Err(HttpError::Ended),
             _ => Ok(()),
@@ -128,8 +128,8 @@
     }
 
     /// Ends once the peer has ended the connection. What it sends meanwhile is kept for the next message.
-    pub async fn ended(&mut self) {
-        while self.buffer.len() <= MAX_HEAD && self.more().await.is_ok() {}
+    pub async fn closed(&mut self) {
+        while self.buffer.len() <= MAX_HEAD && self.read_more().await.is_ok() {}
     }
 
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
@@ -146,10 +146,10 @@
 /// Whether a sender answers `GET /healthz` with 200.
 pub async fn is_ready(at: SocketAddr, clock: Clock) -> bool {
     let Ok(stream) = TcpStream::connect(at).await else { return false };
-    let mut link = Link::new(stream, clock);
+    let mut link = Connection::new(stream, clock);
     let ask = b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
     link.write(ask).await.is_ok()
-        && matches!(link.read_answer().await, Ok(Message { start: Start::Status(200), .. }))
+        && matches!(link.read_response().await, Ok(Message { start: Start::Status(200), .. }))
 }
 
 fn headers(parsed: &[httparse::Header]) -> Result<(Vec<(String, String)>, usize), HttpError> {
@@ -179,7 +179,7 @@
     Ok(Some(Head { length, start, headers, body }))
 }
 
-fn answer_head(bytes: &[u8]) -> Result<Option<Head>, HttpError> {
+fn response_head(bytes: &[u8]) -> Result<Option<Head>, HttpError> {
     let mut parsed = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut answer = httparse::Response::new(&mut parsed);
     let status = answer.parse(bytes).map_err(|e| HttpError::Malformed(e.to_string()))?;
@@ -190,7 +190,7 @@
 }
 
 /// An answer as bytes. `headers` are whole lines, each with its end.
-pub fn answer(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
+pub fn response(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         204 => "No Content",
--- a/crates/testbed/src/judge/case.rs
+++ b/crates/testbed/src/judge/fact_index.rs
@@ -1,10 +1,10 @@
 //! The facts of a play, sorted by what they are about. Nothing is judged here.
 use crate::clock::{Ns, MS, SECOND};
-use crate::ledger::{Fact, Heard, Life, MessageId, Notice, Reply, What};
+use crate::facts::{Fact, FactKind, HandInResult, MessageId, Notice, ProcessEvent, Reply};
 use crate::plan::Terms;
-use crate::platform::destination::{CallNo, Refusal};
+use crate::platform::destination::{CallNumber, Refusal};
 use crate::platform::list::Lifecycle;
-use crate::spec::{Kind, Link};
+use crate::spec::{EventKind, Link};
 use std::collections::{BTreeMap, HashMap};
 
 /// How long after a link has healed something may still come that was held up on it.
@@ -22,7 +22,7 @@
     pub sender: u32,
     pub due: Ns,
     pub handed: Ns,
-    pub heard: Option<(Ns, Heard)>,
+    pub heard: Option<(Ns, HandInResult)>,
     pub notices: Vec<(Ns, Notice)>,
     /// Places in `Case::calls`.
     pub calls: Vec<usize>,
@@ -30,13 +30,13 @@
 
 impl Message {
     pub fn taken(&self) -> Option<Ns> {
-        self.heard.filter(|(_, h)| *h == Heard::Taken).map(|(at, _)| at)
+        self.heard.filter(|(_, h)| *h == HandInResult::Accepted).map(|(at, _)| at)
     }
 }
 
 #[derive(Debug)]
 pub struct Call {
-    pub number: CallNo,
+    pub number: CallNumber,
     pub message: MessageId,
     pub sender: u32,
     pub endpoint: u32,
@@ -66,7 +66,7 @@
     pub taken: bool,
 }
 
-pub struct Case<'a> {
+pub struct FactIndex<'a> {
     pub terms: &'a Terms,
     /// When the last fact was noted.
     pub end: Ns,
@@ -78,7 +78,7 @@
     pub probes: usize,
     pub connections: usize,
     /// By sender, in order.
-    pub lives: Vec<Vec<(Ns, Life)>>,
+    pub lives: Vec<Vec<(Ns, ProcessEvent)>>,
     /// By link and sender: when something was wrong with it.
     links: HashMap<(Link, u32), Vec<(Ns, Ns)>>,
     /// By destination: troubles that make its return cold, with their ends.
@@ -88,9 +88,9 @@
     told: HashMap<(u32, u32), Vec<(Ns, Lifecycle)>>,
 }
 
-impl<'a> Case<'a> {
-    pub fn new(terms: &'a Terms, facts: &'a [Fact]) -> Case<'a> {
-        let mut case = Case {
+impl<'a> FactIndex<'a> {
+    pub fn new(terms: &'a Terms, facts: &'a [Fact]) -> FactIndex<'a> {
+        let mut case = FactIndex {
             terms,
             end: facts.last().map_or(0, |f| f.at),
             requests: BTreeMap::new(),
@@ -109,18 +109,18 @@
         };
         let mut places = HashMap::new();
         for fact in facts {
-            case.add(fact.at, &fact.what, &mut places);
+            case.add(fact.at, &fact.kind, &mut places);
         }
         case
     }
 
-    fn add(&mut self, at: Ns, what: &'a What, places: &mut HashMap<CallNo, usize>) {
+    fn add(&mut self, at: Ns, what: &'a FactKind, places: &mut HashMap<CallNumber, usize>) {
         match *what {
-            What::Asked { request, sender, dest, class, planned } => {
+            FactKind::Requested { request, sender, dest, class, planned } => {
                 let new = Request { at: planned, sender, dest, class, messages: Vec::new() };
                 self.requests.insert(request, new);
             }
-            What::HandedIn { message: id, request, sender, due } => {
+            FactKind::HandedIn { message: id, request, sender, due } => {
                 if let Some(asked) = self.requests.get_mut(&request) {
                     asked.messages.push(id);
                 }
@@ -137,12 +137,12 @@
                     calls,
                 });
             }
-            What::Heard { message, heard } => {
+            FactKind::HandInEnded { message, result } => {
                 if let Some(m) = self.messages.get_mut(&message) {
-                    m.heard = Some((at, heard));
+                    m.heard = Some((at, result));
                 }
             }
-            What::Called { call: number, message, sender, endpoint, first, intact } => {
+            FactKind::CallReceived { call: number, message, sender, endpoint, first, intact } => {
                 places.insert(number, self.calls.len());
                 if let Some(m) = self.messages.get_mut(&message) {
                     m.calls.push(self.calls.len());
@@ -152,38 +152,39 @@
                     Call { number, message, sender, endpoint, first, last: at, intact, effects, reply };
                 self.calls.push(call);
             }
-            What::Effect { call } => {
+            FactKind::Effect { call } => {
                 if let Some(place) = places.get(&call) {
                     self.calls[*place].effects.push(at);
                 }
             }
-            What::Replied { call, reply } => {
+            FactKind::Replied { call, reply } => {
                 if let Some(place) = places.get(&call) {
                     self.calls[*place].reply = Some((at, reply));
                 }
             }
             // A call that the sender left may have run, as one without a reply.
             // The senders are told what discovery tells, whatever its troubles.
-            What::Left { .. } | What::Discovery { .. } => {}
-            What::Nameless { sender, endpoint } => self.nameless.push((at, sender, endpoint)),
-            What::Probed { .. } => self.probes += 1,
-            What::Connected { .. } => self.connections += 1,
-            What::Notice { message, notice, .. } => {
+            FactKind::CallAbandoned { .. } | FactKind::DiscoveryFault { .. } => {}
+            FactKind::CallWithoutId { sender, endpoint } => self.nameless.push((at, sender, endpoint)),
+            FactKind::Probed { .. } => self.probes += 1,
+            FactKind::Connected { .. } => self.connections += 1,
+            FactKind::Notice { message, notice, .. } => {
                 if let Some(m) = self.messages.get_mut(&message) {
                     m.notices.push((at, notice));
                 }
             }
-            What::Changed { endpoint, lifecycle } => self.changes.push((at, endpoint, lifecycle)),
-            What::Told { sender, endpoint, lifecycle } => {
+            FactKind::EndpointChanged { endpoint, lifecycle } => self.changes.push((at, endpoint, lifecycle)),
+            FactKind::ChangeSent { sender, endpoint, lifecycle } => {
                 self.told.entry((sender, endpoint)).or_default().push((at, lifecycle));
             }
-            What::Process { sender, life } => {
+            FactKind::Process { sender, event } => {
                 if let Some(lives) = self.lives.get_mut(sender as usize) {
-                    lives.push((at, life));
+                    lives.push((at, event));
                 }
             }
-            What::Trouble { dest, kind, begins } => {
-                if matches!(kind, Kind::Down | Kind::Silent | Kind::Shut | Kind::Failing) {
+            FactKind::DestinationFault { dest, kind, begins } => {
+                if matches!(kind, EventKind::Down | EventKind::Silent | EventKind::Shut | EventKind::Failing)
+                {
                     let outages = self.outages.entry(dest).or_default();
                     match (begins, outages.last_mut()) {
                         (false, Some(last)) => last.1 = at,
@@ -191,15 +192,15 @@
                     }
                 }
             }
-            What::Link { sender, link, begins, .. } => {
+            FactKind::LinkFault { sender, link, begins, .. } => {
                 let spans = self.links.entry((link, sender)).or_default();
                 match (begins, spans.last_mut()) {
                     (false, Some(last)) => last.1 = at,
                     _ => spans.push((at, Ns::MAX)),
                 }
             }
-            What::Fell { endpoint } => self.falls.push((at, endpoint)),
-            What::Stranger { sender, ref form, within, answered, taken } => {
+            FactKind::OverloadFailure { endpoint } => self.falls.push((at, endpoint)),
+            FactKind::Stranger { sender, ref form, within, answered, taken } => {
                 self.strangers.push(Stranger { at, sender, form, within, answered, taken });
             }
         }
@@ -211,7 +212,7 @@
 
     /// When a message was over: delivered, ended by a notice, or called over by an endpoint.
     pub fn ended(&self, message: &Message) -> Option<Ns> {
-        let over = |reply: Reply| matches!(reply, Reply::Refused { why: Refusal::Over, .. });
+        let over = |reply: Reply| matches!(reply, Reply::Refused { why: Refusal::Expired, .. });
         let called_over = message.calls.iter().filter_map(|c| self.calls[*c].reply).filter(|r| over(r.1));
         let notices = message.notices.iter().map(|(at, _)| *at);
         self.delivered(message).into_iter().chain(notices).chain(called_over.map(|r| r.0)).min()
@@ -232,11 +233,11 @@
         let mut down = false;
         for (when, life) in &self.lives[sender as usize] {
             let excuse_until = match life {
-                Life::Terminated | Life::Killed | Life::Paused => {
+                ProcessEvent::Terminated | ProcessEvent::Killed | ProcessEvent::Paused => {
                     down = *when <= at;
                     continue;
                 }
-                Life::Ready | Life::Continued => when + RESTART,
+                ProcessEvent::Ready | ProcessEvent::Continued => when + RESTART,
                 _ => continue,
             };
             if down && at <= excuse_until {
@@ -255,18 +256,21 @@
 
     /// A sender's folder was emptied after a time: what it owed then is lost with its machine.
     pub fn emptied_after(&self, sender: u32, at: Ns) -> bool {
-        self.lives[sender as usize].iter().any(|(when, life)| *life == Life::Emptied && *when >= at)
+        self.lives[sender as usize].iter().any(|(when, life)| *life == ProcessEvent::Emptied && *when >= at)
     }
 
     /// A sender was started anew, or ended, in a span.
     pub fn restarted(&self, sender: u32, from: Ns, to: Ns) -> bool {
-        let ends = |life: &Life| matches!(life, Life::Killed | Life::Terminated | Life::Started);
+        let ends = |life: &ProcessEvent| {
+            matches!(life, ProcessEvent::Killed | ProcessEvent::Terminated | ProcessEvent::Started)
+        };
         self.lives[sender as usize].iter().any(|(at, life)| ends(life) && (from..=to).contains(at))
     }
 
     /// Since when a sender has been told, at a time, that an endpoint wants nothing new.
     pub fn told_off(&self, sender: u32, endpoint: u32, at: Ns) -> Option<Ns> {
-        let ready = self.lives[sender as usize].iter().filter(|(when, l)| *l == Life::Ready && *when <= at);
+        let ready =
+            self.lives[sender as usize].iter().filter(|(when, l)| *l == ProcessEvent::Ready && *when <= at);
         let ready = ready.map(|(when, _)| *when).max().unwrap_or(0);
         let counted = self
             .changes
--- a/crates/testbed/src/judge/mod.rs
+++ b/crates/testbed/src/judge/mod.rs
@@ -1,12 +1,12 @@
 //! The verdict over a play: a pure function of the terms and the facts. `rules` holds a function for each rule of
 //! the brief and the protocol; `docs/design/proving-ground.md` lists them.
-mod case;
+mod fact_index;
 mod rules;
 
-pub use case::{Call, Case, Message};
+pub use fact_index::{Call, FactIndex, Message};
 
 use crate::clock::Ns;
-use crate::ledger::Fact;
+use crate::facts::Fact;
 use crate::plan::Terms;
 use serde::{Deserialize, Serialize};
 
@@ -57,19 +57,20 @@
 
 /// One break of one rule, in words that name who, what and when.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Break {
+pub struct Violation {
     pub rule: Rule,
     pub at: Ns,
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
 /// All breaks of rules, in the order of the rules and of time.
-pub fn breaks(terms: &Terms, facts: &[Fact]) -> Vec<Break> {
-    breaks_of(&Case::new(terms, facts))
+pub fn violations(terms: &Terms, facts: &[Fact]) -> Vec<Violation> {
+    violations_of(&FactIndex::new(terms, facts))
 }
 
-pub fn breaks_of(case: &Case) -> Vec<Break> {
-    let mut all: Vec<Break> = Rule::ALL.iter().flat_map(|rule| rules::breaks(case, *rule)).collect();
+pub fn violations_of(case: &FactIndex) -> Vec<Violation> {
+    let mut all: Vec<Violation> = Rule::ALL.iter().flat_map(|rule| rules::violations(case, *rule)).collect();
     all.sort_by_key(|b| (b.rule, b.at));
     all
 }
--- a/crates/testbed/src/judge/rules.rs
+++ b/crates/testbed/src/judge/rules.rs
@@ -1,8 +1,8 @@
 //! Each rule, as a function from the case to its breaks.
-use super::case::{Call, Case};
-use super::{Break, Rule};
+use super::fact_index::{Call, FactIndex};
+use super::{Rule, Violation};
 use crate::clock::{Ns, MS, SECOND};
-use crate::ledger::{Heard, Life, Notice, Reply};
+use crate::facts::{HandInResult, Notice, ProcessEvent, Reply};
 use crate::spec::Link;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -17,7 +17,7 @@
 /// Connections closed without an answer: one message in so many is forgiven (FLEET).
 const UNANSWERED: usize = 200;
 
-pub fn breaks(case: &Case, rule: Rule) -> Vec<Break> {
+pub fn violations(case: &FactIndex, rule: Rule) -> Vec<Violation> {
     let found = match rule {
         Rule::Lost => lost(case),
         Rule::LateEnd => late_end(case),
@@ -30,7 +30,7 @@
         Rule::Stranger => stranger(case),
         Rule::Crash => crash(case),
     };
-    found.into_iter().map(|(at, what)| Break { rule, at, what }).collect()
+    found.into_iter().map(|(at, description)| Violation { rule, at, description }).collect()
 }
 
 type Found = Vec<(Ns, String)>;
@@ -40,7 +40,7 @@
 }
 
 /// Taken on, and neither delivered nor ended by a notice; or a client's connection ended without an answer.
-fn lost(case: &Case) -> Found {
+fn lost(case: &FactIndex) -> Found {
     let mut found = Vec::new();
     let mut closed = Vec::new();
     for m in case.messages.values() {
@@ -55,7 +55,7 @@
                 found.push((m.due, what));
             }
         }
-        if let Some((at, Heard::Closed)) = m.heard {
+        if let Some((at, HandInResult::Closed)) = m.heard {
             if !case.excused(m.sender, at) {
                 closed.push((at, m.id, m.sender));
             }
@@ -72,7 +72,7 @@
     found
 }
 
-fn late_end(case: &Case) -> Found {
+fn late_end(case: &FactIndex) -> Found {
     let late = case.messages.values().filter(|m| m.taken().is_some()).filter_map(|m| {
         let ended = case.ended(m)?;
         let bound = m.due + LATE + SLACK;
@@ -89,7 +89,7 @@
     call.reply.is_some_and(|(when, reply)| reply.never_ran() && when <= at)
 }
 
-fn twice(case: &Case) -> Found {
+fn twice(case: &FactIndex) -> Found {
     let mut found = Vec::new();
     for m in case.messages.values() {
         let repeatable = case.class_of(m).is_none_or(|c| case.terms.classes[c].may_repeat);
@@ -123,7 +123,7 @@
     found
 }
 
-fn drain(case: &Case) -> Found {
+fn drain(case: &FactIndex) -> Found {
     let late = case.calls.iter().filter_map(|call| {
         let told = case.told_off(call.sender, call.endpoint, call.first)?;
         let after = call.first - told;
@@ -142,7 +142,7 @@
     late.collect()
 }
 
-fn wait(case: &Case) -> Found {
+fn wait(case: &FactIndex) -> Found {
     let dest = |c: &Call| case.terms.dest_of[c.endpoint as usize];
     let mut by_pair: BTreeMap<(u32, u32), Vec<&Call>> = BTreeMap::new();
     for call in &case.calls {
@@ -174,7 +174,7 @@
 }
 
 /// Two thirds of what pushed a cold endpoint over came from senders that had seen its destination fail.
-fn cold_return(case: &Case) -> Found {
+fn cold_return(case: &FactIndex) -> Found {
     let mut found = Vec::new();
     for (at, endpoint) in &case.falls {
         let dest = case.terms.dest_of[*endpoint as usize];
@@ -182,10 +182,9 @@
             continue;
         };
         let knows = knowing(case, dest, *from, *to);
-        let pushed = case
-            .calls
-            .iter()
-            .filter(|c| c.endpoint == *endpoint && (*at - case.terms.fall..=*at).contains(&c.last));
+        let pushed = case.calls.iter().filter(|c| {
+            c.endpoint == *endpoint && (*at - case.terms.overload_window..=*at).contains(&c.last)
+        });
         let (mut all, mut knowing) = (0, 0);
         for call in pushed {
             all += 1;
@@ -194,7 +193,7 @@
         if knowing * 3 >= all * 2 {
             let what = format!(
                 "endpoint {endpoint} fell over under {all} calls in {} s, {knowing} of them from senders that had seen it fail",
-                case.terms.fall / SECOND
+                case.terms.overload_window / SECOND
             );
             found.push((*at, what));
         }
@@ -204,7 +203,7 @@
 
 /// Senders that had a call fail at a destination in an outage. Refused connections reach no ledger, so whoever had a
 /// message for the destination in that time counts too.
-fn knowing(case: &Case, dest: u32, from: Ns, to: Ns) -> BTreeSet<u32> {
+fn knowing(case: &FactIndex, dest: u32, from: Ns, to: Ns) -> BTreeSet<u32> {
     let called = case.calls.iter().filter(|c| {
         let fails = c.reply.is_none_or(|(_, r)| r != Reply::Delivered);
         fails && case.terms.dest_of[c.endpoint as usize] == dest && (from..=to).contains(&c.last)
@@ -216,7 +215,7 @@
     called.map(|c| c.sender).chain(held.map(|m| m.sender)).collect()
 }
 
-fn misdirected(case: &Case) -> Found {
+fn misdirected(case: &FactIndex) -> Found {
     let wrong = case.calls.iter().filter_map(|call| {
         let request = case.requests.get(&case.messages.get(&call.message)?.request)?;
         let dest = case.terms.dest_of[call.endpoint as usize];
@@ -232,7 +231,7 @@
 }
 
 /// Calls that no client stands behind, or with another body, or past the bound on attempts.
-fn stray(case: &Case) -> Found {
+fn stray(case: &FactIndex) -> Found {
     let mut found: Found = case
         .nameless
         .iter()
@@ -264,7 +263,7 @@
     found
 }
 
-fn stranger(case: &Case) -> Found {
+fn stranger(case: &FactIndex) -> Found {
     let owed = case.strangers.iter().filter(|s| !case.excused(s.sender, s.at)).filter_map(|s| {
         let what = match s.answered {
             _ if s.taken => "was taken on".to_string(),
@@ -277,13 +276,13 @@
     owed.collect()
 }
 
-fn crash(case: &Case) -> Found {
+fn crash(case: &FactIndex) -> Found {
     let lives =
         case.lives.iter().enumerate().flat_map(|(sender, lives)| lives.iter().map(move |l| (sender, l)));
     let ends = lives.filter_map(|(sender, (at, life))| match life {
-        Life::Exited { asked: false } => Some((*at, format!("sender {sender} ended unasked"))),
-        Life::TookAnothers => Some((*at, format!("sender {sender} took up another's folder"))),
-        Life::Late => Some((*at, format!("sender {sender} was not ready in time"))),
+        ProcessEvent::Exited { expected: false } => Some((*at, format!("sender {sender} ended unasked"))),
+        ProcessEvent::TookForeignFolder => Some((*at, format!("sender {sender} took up another's folder"))),
+        ProcessEvent::NotReady => Some((*at, format!("sender {sender} was not ready in time"))),
         _ => None,
     });
     ends.collect()
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -5,16 +5,15 @@
 //! sockets and processes that feed them; `play` puts them together.
 pub mod addresses;
 pub mod capacity;
+pub mod client_retry;
 pub mod clients;
 pub mod clock;
 pub mod compare;
 pub mod discovery;
 pub mod endpoints;
-pub mod habits;
+pub mod facts;
 pub mod http;
 pub mod judge;
-pub mod lateness;
-pub mod ledger;
 pub mod links;
 pub mod machine;
 pub mod messages;
@@ -27,6 +26,7 @@
 pub mod relay;
 pub mod report;
 pub mod scale;
+pub mod scheduling_lag;
 pub mod score;
 pub mod seed;
 pub mod sim;
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -2,7 +2,7 @@
 use crate::clock::Clock;
 use crate::plan::Plan;
 use crate::relay::{Condition, Tcp};
-use crate::spec::{Kind, Link};
+use crate::spec::{EventKind, Link};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
         let all = [Link::Endpoints, Link::Discovery, Link::Clients];
         let senders = 0..plan.senders.len() as u32;
         let pairs = all.into_iter().flat_map(|link| senders.clone().map(move |sender| (link, sender)));
-        let hurt = pairs.filter(|(link, sender)| plan.hurts(*link, *sender));
+        let hurt = pairs.filter(|(link, sender)| plan.has_link_events(*link, *sender));
         let conditions = hurt.map(|key| (key, watch::Sender::new(Condition::default()))).collect();
         Links { plan: plan.clone(), clock, conditions, relays: Mutex::default() }
     }
@@ -39,7 +39,7 @@
     }
 
     /// Something begins or ends on a link.
-    pub fn strike(&self, link: Link, sender: u32, kind: Kind, size: f64, begins: bool) {
+    pub fn strike(&self, link: Link, sender: u32, kind: EventKind, size: f64, begins: bool) {
         let Some(condition) = self.conditions.get(&(link, sender)) else { return };
         condition.send_modify(|c| c.strike(kind, size, begins));
     }
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -1,9 +1,9 @@
 //! What the seed draws from an experiment: destinations, endpoints, settings, arrivals and the schedule. All of it
 //! is data, drawn ahead, and the same whenever seed and experiment are.
-use crate::clock::{seconds, Ns, MS, SECOND};
-use crate::platform::limit::Form;
+use crate::clock::{from_seconds, Ns, MS, SECOND};
+use crate::platform::limit::LimitKind;
 use crate::seed::Seed;
-use crate::spec::{Event, Folder, Kind, Link, Spec};
+use crate::spec::{Event, EventKind, Link, Spec, StateFolder};
 use rand::{Rng, RngExt};
 use rand_distr::{Distribution, Exp, LogNormal};
 use serde::{Deserialize, Serialize};
@@ -39,9 +39,11 @@
     pub dest_of: Vec<u32>,
     pub max_attempts: usize,
     /// The play's part in which messages are asked for.
-    pub asking: Ns,
+    #[serde(rename = "asking")]
+    pub request_span: Ns,
     /// How long a cold destination has to be sent too much before it falls over.
-    pub fall: Ns,
+    #[serde(rename = "fall")]
+    pub overload_window: Ns,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
@@ -49,7 +51,7 @@
     pub flagship: bool,
     /// Share of all messages.
     pub share: f64,
-    pub form: Form,
+    pub form: LimitKind,
     /// Calls a second from all senders together.
     pub per_s: f64,
     pub counts_refused: bool,
@@ -101,28 +103,30 @@
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Step {
     pub at: Ns,
-    pub does: Does,
+    #[serde(rename = "does")]
+    pub action: StepAction,
 }
 
 #[derive(Clone, Debug, Serialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Does {
+pub enum StepAction {
     /// A destination's trouble begins (`size` as in the experiment) or ends.
     Begin {
         dest: u32,
-        kind: Kind,
+        kind: EventKind,
         size: f64,
         until: Ns,
     },
     End {
         dest: u32,
-        kind: Kind,
+        kind: EventKind,
     },
     /// An endpoint drains, is gone, or is listed for the first time.
     Drain {
         endpoint: u32,
     },
-    Gone {
+    #[serde(rename = "gone")]
+    Remove {
         endpoint: u32,
     },
     Add {
@@ -142,18 +146,18 @@
     },
     Start {
         sender: u32,
-        folder: Folder,
+        folder: StateFolder,
     },
     /// Something begins or ends on a link.
     Link {
         sender: u32,
         link: Link,
-        kind: Kind,
+        kind: EventKind,
         size: f64,
         begins: bool,
     },
     Discovery {
-        kind: Kind,
+        kind: EventKind,
         size: f64,
         begins: bool,
     },
@@ -225,16 +229,15 @@
             dest_of: endpoints.iter().map(|e| e.dest).collect(),
             classes,
             max_attempts: 8,
-            asking: seconds(spec.seconds),
-            fall: 3 * SECOND,
+            request_span: from_seconds(spec.seconds),
+            overload_window: 3 * SECOND,
         };
         Plan { seed, spec: spec.clone(), terms, destinations, endpoints, senders, arrivals, schedule }
     }
 
     /// Whether anything is to happen to a link of a sender.
-    pub fn hurts(&self, link: Link, sender: u32) -> bool {
-        let is =
-            |s: &Step| matches!(s.does, Does::Link { sender: n, link: l, .. } if n == sender && l == link);
+    pub fn has_link_events(&self, link: Link, sender: u32) -> bool {
+        let is = |s: &Step| matches!(s.action, StepAction::Link { sender: n, link: l, .. } if n == sender && l == link);
         self.schedule.iter().any(is)
     }
 
@@ -255,8 +258,8 @@
             "Localities": zones, "NInstances": self.senders.len(), "Position": sender,
             "Prices": {"CrossZone": 0.0, "Handshake": 0.02, "LateFail": 0.015, "Probe": 0.01, "Waste": 0.086},
             "Realms": [],
-            "Safety": {"AnswerSlackNs": 20 * MS, "ColdNs": seconds(self.spec.platform.cold_s),
-                "FallMultiple": crate::platform::destination::FALL_MULTIPLE, "OverloadForNs": self.terms.fall,
+            "Safety": {"AnswerSlackNs": 20 * MS, "ColdNs": from_seconds(self.spec.platform.cold_s),
+                "FallMultiple": crate::platform::destination::FALL_MULTIPLE, "OverloadForNs": self.terms.overload_window,
                 "StartCapacity": self.spec.platform.cold_from, "StopSendingWithinNs": 500 * MS},
             "Services": services, "Stages": ["channels"], "TickNs": 5 * MS, "Tier": 0, "Weights": "nominal",
             "WorthBy": "request", "Zone": 0,
@@ -296,11 +299,11 @@
             Destination {
                 flagship,
                 share,
-                form: if flagship { Form::Rate } else { Form::Window },
+                form: if flagship { LimitKind::Rate } else { LimitKind::Window },
                 per_s: (full * share * between(&mut random, headroom)).max(between(&mut random, least)),
                 counts_refused: !flagship,
                 tells: between(&mut random, tells),
-                wait: seconds(between(&mut random, wait)),
+                wait: from_seconds(between(&mut random, wait)),
                 pace: slow.sample(&mut random).clamp(0.3, 4.0),
                 endpoints: Vec::new(),
             }
@@ -371,7 +374,7 @@
 /// An event with those that it strikes.
 struct Struck<'a> {
     event: &'a Event,
-    kind: Kind,
+    kind: EventKind,
     at: Ns,
     until: Ns,
     numbers: Vec<u32>,
@@ -379,19 +382,19 @@
 
 fn strike<'a>(spec: &'a Spec, seed: Seed, dests: &[Destination], senders: &[Sender]) -> Vec<Struck<'a>> {
     let one = |(i, event): (usize, &'a Event)| {
-        let kind = *event.what.get_ref();
+        let kind = *event.kind.get_ref();
         let weights: Vec<f64> = match kind {
-            _ if kind.of_discovery() => Vec::new(),
+            _ if kind.strikes_discovery() => Vec::new(),
             // The part is a share of the senders, whatever traffic they have.
-            _ if kind.of_senders() => vec![1.0 / senders.len() as f64; senders.len()],
+            _ if kind.strikes_senders() => vec![1.0 / senders.len() as f64; senders.len()],
             _ => dests.iter().map(|d| d.share).collect(),
         };
-        let at = seconds(event.at);
+        let at = from_seconds(event.at);
         let numbers = match event.part {
             Some(part) => draw_part(&mut seed.stream("struck", i as u64), weights, part),
             None => event.which.clone(),
         };
-        Struck { event, kind, at, until: at + seconds(event.lasts), numbers }
+        Struck { event, kind, at, until: at + from_seconds(event.duration_s), numbers }
     };
     spec.event.iter().enumerate().map(one).collect()
 }
@@ -414,57 +417,57 @@
 fn schedule(struck: &[Struck], dests: &[Destination], endpoints: &mut Vec<Endpoint>) -> Vec<Step> {
     let mut steps = Vec::new();
     for s in struck {
-        let mut step = |at: Ns, does: Does| steps.push(Step { at, does });
-        if s.kind.of_discovery() {
+        let mut step = |at: Ns, action: StepAction| steps.push(Step { at, action });
+        if s.kind.strikes_discovery() {
             let size = s.event.size.unwrap_or(1.0);
-            step(s.at, Does::Discovery { kind: s.kind, size, begins: true });
-            if !s.kind.is_moment() {
-                step(s.until, Does::Discovery { kind: s.kind, size, begins: false });
+            step(s.at, StepAction::Discovery { kind: s.kind, size, begins: true });
+            if !s.kind.is_instantaneous() {
+                step(s.until, StepAction::Discovery { kind: s.kind, size, begins: false });
             }
             continue;
         }
         for &number in &s.numbers {
             match s.kind {
-                kind if kind.of_links() => {
+                kind if kind.strikes_links() => {
                     let Some(link) = s.event.link else { continue };
                     let size = s.event.size.unwrap_or(1.0);
-                    let does = |begins| Does::Link { sender: number, link, kind, size, begins };
+                    let does = |begins| StepAction::Link { sender: number, link, kind, size, begins };
                     step(s.at, does(true));
-                    if !kind.is_moment() {
+                    if !kind.is_instantaneous() {
                         step(s.until, does(false));
                     }
                 }
-                Kind::Kill => {
-                    step(s.at, Does::Kill { sender: number });
-                    step(s.until, Does::Start { sender: number, folder: s.event.folder });
+                EventKind::Kill => {
+                    step(s.at, StepAction::Kill { sender: number });
+                    step(s.until, StepAction::Start { sender: number, folder: s.event.folder });
                 }
-                Kind::Terminate => {
-                    step(s.at, Does::Terminate { sender: number });
+                EventKind::Terminate => {
+                    step(s.at, StepAction::Terminate { sender: number });
                     // SIGKILL comes no sooner than 3.7 s after SIGTERM (PROTOCOL, Figures).
-                    step(s.at + 3_700 * MS, Does::Kill { sender: number });
+                    step(s.at + 3_700 * MS, StepAction::Kill { sender: number });
                     let at = s.until + 3_700 * MS;
-                    step(at, Does::Start { sender: number, folder: s.event.folder });
+                    step(at, StepAction::Start { sender: number, folder: s.event.folder });
                 }
-                Kind::Pause => {
-                    step(s.at, Does::Pause { sender: number });
-                    step(s.until, Does::Continue { sender: number });
+                EventKind::Pause => {
+                    step(s.at, StepAction::Pause { sender: number });
+                    step(s.until, StepAction::Continue { sender: number });
                 }
-                Kind::Replace => {
+                EventKind::Replace => {
                     let Some(&old) = dests[number as usize].endpoints.get(1) else { continue };
                     let new = endpoints.len() as u32;
                     let template = endpoints[old as usize].clone();
                     let name = format!("{}-b", template.name);
                     endpoints.push(Endpoint { name, listed: false, ..template });
-                    step(s.at, Does::Drain { endpoint: old });
-                    step(s.at + DRAIN, Does::Gone { endpoint: old });
-                    step(s.until.max(s.at + DRAIN), Does::Add { endpoint: new });
+                    step(s.at, StepAction::Drain { endpoint: old });
+                    step(s.at + DRAIN, StepAction::Remove { endpoint: old });
+                    step(s.until.max(s.at + DRAIN), StepAction::Add { endpoint: new });
                 }
                 // Hot ones only change the arrivals.
-                Kind::HotDestination | Kind::HotSender => {}
+                EventKind::HotDestination | EventKind::HotSender => {}
                 kind => {
                     let size = s.event.size.unwrap_or(1.0);
-                    step(s.at, Does::Begin { dest: number, kind, size, until: s.until });
-                    step(s.until, Does::End { dest: number, kind });
+                    step(s.at, StepAction::Begin { dest: number, kind, size, until: s.until });
+                    step(s.until, StepAction::End { dest: number, kind });
                 }
             }
         }
@@ -486,7 +489,7 @@
     struck: &[Struck],
     classes: &[Class],
 ) -> Vec<Arrival> {
-    let end = seconds(spec.seconds);
+    let end = from_seconds(spec.seconds);
     let traffic = &spec.traffic;
     let mut random = seed.stream("arrivals", 0);
     let mut draw = Draw::new(seed, spec, dests, senders, struck, classes);
@@ -568,7 +571,7 @@
     }
 
     fn hot_ones(&self, at: Ns) -> impl Iterator<Item = &Struck<'a>> + use<'_, 'a> {
-        let hot = |s: &&Struck| matches!(s.kind, Kind::HotDestination | Kind::HotSender);
+        let hot = |s: &&Struck| matches!(s.kind, EventKind::HotDestination | EventKind::HotSender);
         self.struck.iter().filter(hot).filter(move |s| (s.at..s.until).contains(&at))
     }
 
@@ -581,7 +584,7 @@
         let size = |s: &Struck| s.event.size.map_or(0.0, |size| size / (1.0 - size));
         self.struck
             .iter()
-            .filter(|s| matches!(s.kind, Kind::HotDestination | Kind::HotSender))
+            .filter(|s| matches!(s.kind, EventKind::HotDestination | EventKind::HotSender))
             .map(size)
             .sum()
     }
@@ -591,13 +594,13 @@
         let mut sender = None;
         let mut hot_dest = None;
         if self.random.random::<f64>() * (1.0 + hot) < hot {
-            let ones: Vec<(Kind, f64, Vec<u32>)> =
+            let ones: Vec<(EventKind, f64, Vec<u32>)> =
                 self.hot_ones(at).map(|s| (s.kind, s.event.size.unwrap_or(0.0), s.numbers.clone())).collect();
             let weights: Vec<f64> = ones.iter().map(|o| o.1 / (1.0 - o.1)).collect();
             let (kind, _, numbers) = &ones[pick(&mut self.random, &weights)];
             let number = numbers[self.random.random_range(0..numbers.len())] as usize;
             match kind {
-                Kind::HotSender => sender = Some(number),
+                EventKind::HotSender => sender = Some(number),
                 _ => hot_dest = Some(number),
             }
         }
@@ -675,14 +678,14 @@
     fn events_strike_the_part_asked_for_and_end() {
         let text = "[[event]]\nwhat = 'shut'\nat = 5\nfor = 7\npart = 0.2\n[[event]]\nwhat = 'kill'\nat = 9\nfor = 1\npart = 0.5";
         let plan = Plan::draw(&spec(text), Seed(11));
-        let begun = |s: &&Step| matches!(s.does, Does::Begin { .. });
-        let shares = plan.schedule.iter().filter(begun).map(|s| match s.does {
-            Does::Begin { dest, .. } => plan.destinations[dest as usize].share,
+        let begun = |s: &&Step| matches!(s.action, StepAction::Begin { .. });
+        let shares = plan.schedule.iter().filter(begun).map(|s| match s.action {
+            StepAction::Begin { dest, .. } => plan.destinations[dest as usize].share,
             _ => 0.0,
         });
         assert!(shares.sum::<f64>() >= 0.2);
-        let kills = plan.schedule.iter().filter(|s| matches!(s.does, Does::Kill { .. })).count();
-        let starts = plan.schedule.iter().filter(|s| matches!(s.does, Does::Start { .. })).count();
+        let kills = plan.schedule.iter().filter(|s| matches!(s.action, StepAction::Kill { .. })).count();
+        let starts = plan.schedule.iter().filter(|s| matches!(s.action, StepAction::Start { .. })).count();
         assert_eq!((kills, starts), (2, 2), "half of three senders is two");
     }
 }
--- a/crates/testbed/src/platform/destination.rs
+++ b/crates/testbed/src/platform/destination.rs
@@ -4,9 +4,9 @@
 //! it gives `finish` for a call at the time that `Out::Begin` named, and `gone` where the call's connection ends
 //! first.
 use super::limit::Limit;
-use crate::clock::{seconds, Ns, MS, SECOND};
+use crate::clock::{from_seconds, Ns, MS, SECOND};
 use crate::plan;
-use crate::spec::{Kind, Platform};
+use crate::spec::{EventKind, Platform};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
@@ -24,11 +24,11 @@
 const DRAIN_GRACE: Ns = 8 * SECOND;
 
 /// The testbed's number for a call.
-pub type CallNo = u64;
+pub type CallNumber = u64;
 
 #[derive(Clone, Debug)]
 pub struct Call {
-    pub number: CallNo,
+    pub number: CallNumber,
     /// Place of the endpoint among the destination's.
     pub place: usize,
     /// At an endpoint of usual pace.
@@ -49,9 +49,11 @@
     /// The message has had all its attempts.
     Attempts,
     /// The message's time is up: nothing more is owed.
-    Over,
+    #[serde(rename = "over")]
+    Expired,
     /// No such message, or not here.
-    Stray,
+    #[serde(rename = "stray")]
+    UnknownMessage,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -63,28 +65,28 @@
     /// The connection breaks.
     Reset,
     /// 200, with the rest of the answer unreadable.
-    Spoilt,
+    Malformed,
     /// Nothing comes, and the connection stays.
-    Nothing,
+    NoAnswer,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Out {
+pub enum Output {
     /// The call is served from now on until that time.
     Begin {
-        call: CallNo,
+        call: CallNumber,
         until: Ns,
     },
     /// It takes effect now.
     Effect {
-        call: CallNo,
+        call: CallNumber,
     },
     Answer {
-        call: CallNo,
+        call: CallNumber,
         answer: Answer,
     },
     /// A cold endpoint was sent too much and is down for good.
-    Fell {
+    OverloadFailure {
         place: usize,
     },
 }
@@ -104,7 +106,7 @@
 struct Place {
     slots: usize,
     room: usize,
-    serving: HashMap<CallNo, Served>,
+    serving: HashMap<CallNumber, Served>,
     waiting: VecDeque<Call>,
     cold: Option<Cold>,
     drains_since: Option<Ns>,
@@ -123,7 +125,7 @@
     capacity: f64,
     places: Vec<Place>,
     /// Sizes of the troubles under way, and when a shut destination opens.
-    troubles: HashMap<Kind, f64>,
+    troubles: HashMap<EventKind, f64>,
     opens: Ns,
     random: ChaCha8Rng,
 }
@@ -153,7 +155,7 @@
             pace: drawn.pace,
             error_rate: platform.error_rate,
             cold_from: platform.cold_from,
-            cold_for: seconds(platform.cold_s),
+            cold_for: from_seconds(platform.cold_s),
             capacity: slots as f64 / work,
             places: endpoints.iter().map(place).collect(),
             troubles: HashMap::new(),
@@ -163,22 +165,22 @@
     }
 
     /// A trouble begins. Returns what becomes of the calls that it ends.
-    pub fn begin(&mut self, now: Ns, kind: Kind, size: f64, until: Ns) -> Vec<Out> {
+    pub fn begin(&mut self, now: Ns, kind: EventKind, size: f64, until: Ns) -> Vec<Output> {
         self.troubles.insert(kind, size);
         let mut outs = Vec::new();
         match kind {
-            Kind::Limit => self.limit.scale(now, size),
-            Kind::Shut => self.opens = until,
-            Kind::Down | Kind::Silent => {
-                let answer = if kind == Kind::Down { Answer::Reset } else { Answer::Nothing };
+            EventKind::Limit => self.limit.scale(now, size),
+            EventKind::Shut => self.opens = until,
+            EventKind::Down | EventKind::Silent => {
+                let answer = if kind == EventKind::Down { Answer::Reset } else { Answer::NoAnswer };
                 for place in &mut self.places {
                     let calls = place.serving.drain().map(|(number, _)| number);
                     let calls = calls.chain(place.waiting.drain(..).map(|c| c.number));
-                    outs.extend(calls.map(|call| Out::Answer { call, answer }));
+                    outs.extend(calls.map(|call| Output::Answer { call, answer }));
                 }
                 // The table's order is no seed's.
                 outs.sort_by_key(|out| match out {
-                    Out::Answer { call, .. } => *call,
+                    Output::Answer { call, .. } => *call,
                     _ => 0,
                 });
             }
@@ -188,14 +190,14 @@
     }
 
     /// A trouble ends. After an outage all endpoints are cold (the brief, 6.6).
-    pub fn end(&mut self, now: Ns, kind: Kind) {
+    pub fn end(&mut self, now: Ns, kind: EventKind) {
         let size = self.troubles.remove(&kind);
         let outage = match kind {
-            Kind::Down | Kind::Silent | Kind::Shut => true,
-            Kind::Failing => size.is_some_and(|share| share > 0.5),
+            EventKind::Down | EventKind::Silent | EventKind::Shut => true,
+            EventKind::Failing => size.is_some_and(|share| share > 0.5),
             _ => false,
         };
-        if kind == Kind::Limit {
+        if kind == EventKind::Limit {
             self.limit.scale(now, 1.0);
         }
         if outage {
@@ -216,18 +218,18 @@
 
     /// Refuses connections at that place.
     pub fn is_down(&self, place: usize) -> bool {
-        self.troubles.contains_key(&Kind::Down) || self.places[place].fallen
+        self.troubles.contains_key(&EventKind::Down) || self.places[place].fallen
     }
 
     pub fn is_silent(&self) -> bool {
-        self.troubles.contains_key(&Kind::Silent)
+        self.troubles.contains_key(&EventKind::Silent)
     }
 
     fn chance(&mut self, share: f64) -> bool {
         share > 0.0 && self.random.random::<f64>() < share
     }
 
-    fn size(&self, kind: Kind) -> f64 {
+    fn size(&self, kind: EventKind) -> f64 {
         self.troubles.get(&kind).copied().unwrap_or(0.0)
     }
 
@@ -256,16 +258,16 @@
 
     /// A probe has come, which counts as a call. Whether the endpoint would serve.
     pub fn probe(&mut self, now: Ns) -> bool {
-        self.limit.take(now).is_ok() && !self.troubles.contains_key(&Kind::Shut)
+        self.limit.take(now).is_ok() && !self.troubles.contains_key(&EventKind::Shut)
     }
 
     /// A call has come whole.
-    pub fn arrive(&mut self, now: Ns, call: Call) -> Vec<Out> {
+    pub fn arrive(&mut self, now: Ns, call: Call) -> Vec<Output> {
         let number = call.number;
         let place = call.place;
-        let told = |answer| vec![Out::Answer { call: number, answer }];
+        let told = |answer| vec![Output::Answer { call: number, answer }];
         if self.is_silent() {
-            return told(Answer::Nothing);
+            return told(Answer::NoAnswer);
         }
         if self.is_down(place) {
             return told(Answer::Reset);
@@ -277,10 +279,10 @@
             calls.extend(fallen.waiting.drain(..).map(|c| c.number));
             calls.push(number);
             calls.sort_unstable();
-            let ends = calls.into_iter().map(|call| Out::Answer { call, answer: Answer::Reset });
-            return std::iter::once(Out::Fell { place }).chain(ends).collect();
+            let ends = calls.into_iter().map(|call| Output::Answer { call, answer: Answer::Reset });
+            return std::iter::once(Output::OverloadFailure { place }).chain(ends).collect();
         }
-        if self.troubles.contains_key(&Kind::Shut) {
+        if self.troubles.contains_key(&EventKind::Shut) {
             let wait = self.chance(self.tells).then_some(self.opens - now);
             return told(Answer::Refused(Refusal::Shut, wait.filter(|w| *w > 0)));
         }
@@ -292,7 +294,7 @@
             let wait = self.chance(self.tells).then_some(room.max(self.wait));
             return told(Answer::Refused(Refusal::Limit, wait));
         }
-        let failing = self.size(Kind::Failing);
+        let failing = self.size(EventKind::Failing);
         if self.chance(failing) {
             return told(Answer::Error);
         }
@@ -307,53 +309,53 @@
         Vec::new()
     }
 
-    fn serve(&mut self, now: Ns, call: &Call) -> Out {
+    fn serve(&mut self, now: Ns, call: &Call) -> Output {
         let fails = self.chance(self.error_rate);
-        let slow = self.size(Kind::Slow).max(1.0);
+        let slow = self.size(EventKind::Slow).max(1.0);
         let noise = self.random.random_range(0.8..1.25);
         let work = call.work as f64 * self.pace * slow * noise / self.warmth(now, call.place);
         self.places[call.place].serving.insert(call.number, Served { fails });
-        Out::Begin { call: call.number, until: now + if fails { QUICK } else { (work as Ns).max(QUICK) } }
+        Output::Begin { call: call.number, until: now + if fails { QUICK } else { (work as Ns).max(QUICK) } }
     }
 
     /// A call has been served for as long as it took.
-    pub fn finish(&mut self, now: Ns, place: usize, call: CallNo) -> Vec<Out> {
+    pub fn finish(&mut self, now: Ns, place: usize, call: CallNumber) -> Vec<Output> {
         let Some(served) = self.places[place].serving.remove(&call) else { return Vec::new() };
         let mut outs = Vec::new();
         if served.fails {
-            outs.push(Out::Answer { call, answer: Answer::Error });
+            outs.push(Output::Answer { call, answer: Answer::Error });
         } else {
-            outs.push(Out::Effect { call });
+            outs.push(Output::Effect { call });
             let (lost, reset, spoilt) =
-                (self.size(Kind::LoseAnswers), self.size(Kind::Reset), self.size(Kind::Spoil));
+                (self.size(EventKind::LoseAnswers), self.size(EventKind::Reset), self.size(EventKind::Spoil));
             let answer = if self.chance(lost) {
-                Answer::Nothing
+                Answer::NoAnswer
             } else if self.chance(reset) {
                 Answer::Reset
             } else if self.chance(spoilt) {
-                Answer::Spoilt
+                Answer::Malformed
             } else {
                 Answer::Served
             };
-            outs.push(Out::Answer { call, answer });
+            outs.push(Output::Answer { call, answer });
         }
         outs.extend(self.next(now, place));
         outs
     }
 
     /// A call's connection has ended before its answer: its slot is free, and its work may run on.
-    pub fn gone(&mut self, now: Ns, place: usize, call: CallNo) -> Vec<Out> {
+    pub fn gone(&mut self, now: Ns, place: usize, call: CallNumber) -> Vec<Output> {
         let at = &mut self.places[place];
         at.waiting.retain(|c| c.number != call);
         let mut outs = Vec::new();
         if at.serving.remove(&call).is_some_and(|s| !s.fails) && self.chance(0.5) {
-            outs.push(Out::Effect { call });
+            outs.push(Output::Effect { call });
         }
         outs.extend(self.next(now, place));
         outs
     }
 
-    fn next(&mut self, now: Ns, place: usize) -> Vec<Out> {
+    fn next(&mut self, now: Ns, place: usize) -> Vec<Output> {
         let mut outs = Vec::new();
         while self.places[place].serving.len() < self.places[place].slots {
             let Some(call) = self.places[place].waiting.pop_front() else { break };
@@ -366,7 +368,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::platform::limit::Form;
+    use crate::platform::limit::LimitKind;
     use crate::seed::Seed;
 
     const ROOMY: f64 = 1e6;
@@ -375,7 +377,7 @@
         let drawn = plan::Destination {
             flagship: false,
             share: 1.0,
-            form: Form::Window,
+            form: LimitKind::Window,
             per_s,
             counts_refused: false,
             tells: 1.0,
@@ -396,13 +398,13 @@
         Destination::new(&drawn, &[endpoint], &platform, Seed(1).stream("test", 0))
     }
 
-    fn call(number: CallNo) -> Call {
+    fn call(number: CallNumber) -> Call {
         Call { number, place: 0, work: 100 * MS }
     }
 
-    fn begun(outs: &[Out]) -> Option<(CallNo, Ns)> {
+    fn begun(outs: &[Output]) -> Option<(CallNumber, Ns)> {
         outs.iter().find_map(|o| match o {
-            Out::Begin { call, until } => Some((*call, *until)),
+            Output::Begin { call, until } => Some((*call, *until)),
             _ => None,
         })
     }
@@ -413,10 +415,13 @@
         let (first, until) = begun(&d.arrive(0, call(1))).expect("there is a slot");
         assert_eq!(d.arrive(0, call(2)), []);
         assert_eq!(d.arrive(0, call(3)), []);
-        let full = Out::Answer { call: 4, answer: Answer::Refused(Refusal::Queue, None) };
+        let full = Output::Answer { call: 4, answer: Answer::Refused(Refusal::Queue, None) };
         assert_eq!(d.arrive(0, call(4)), [full]);
         let outs = d.finish(until, 0, first);
-        assert_eq!(outs[..2], [Out::Effect { call: 1 }, Out::Answer { call: 1, answer: Answer::Served }]);
+        assert_eq!(
+            outs[..2],
+            [Output::Effect { call: 1 }, Output::Answer { call: 1, answer: Answer::Served }]
+        );
         assert_eq!(begun(&outs).map(|b| b.0), Some(2));
         // The second's connection ends: the third takes its slot, and the second is never finished.
         assert_eq!(begun(&d.gone(until, 0, 2)).map(|b| b.0), Some(3));
@@ -427,10 +432,10 @@
     fn a_shut_destination_tells_when_it_opens_and_returns_cold() {
         let mut d = destination(ROOMY, 4);
         let warm = begun(&d.arrive(0, call(1))).unwrap().1;
-        d.begin(SECOND, Kind::Shut, 1.0, 5 * SECOND);
-        let wait = Out::Answer { call: 2, answer: Answer::Refused(Refusal::Shut, Some(3 * SECOND)) };
+        d.begin(SECOND, EventKind::Shut, 1.0, 5 * SECOND);
+        let wait = Output::Answer { call: 2, answer: Answer::Refused(Refusal::Shut, Some(3 * SECOND)) };
         assert_eq!(d.arrive(2 * SECOND, call(2)), [wait]);
-        d.end(5 * SECOND, Kind::Shut);
+        d.end(5 * SECOND, EventKind::Shut);
         let cold = begun(&d.arrive(5 * SECOND, call(3))).unwrap().1 - 5 * SECOND;
         assert!(cold as f64 > 3.0 * warm as f64, "{cold} ns cold, {warm} ns warm");
         let later = 20 * SECOND;
@@ -443,14 +448,14 @@
         // it has been back for 3 s.
         for (every, falls) in [(100 * MS, false), (15 * MS, true)] {
             let mut d = destination(ROOMY, 4);
-            d.begin(0, Kind::Down, 1.0, SECOND);
-            d.end(SECOND, Kind::Down);
+            d.begin(0, EventKind::Down, 1.0, SECOND);
+            d.end(SECOND, EventKind::Down);
             let mut fell = false;
             for i in 0..(9 * SECOND / every) {
                 let now = SECOND + i * every;
-                let outs = d.arrive(now, call(i as CallNo));
-                fell |= outs.contains(&Out::Fell { place: 0 });
-                d.gone(now, 0, i as CallNo);
+                let outs = d.arrive(now, call(i as CallNumber));
+                fell |= outs.contains(&Output::OverloadFailure { place: 0 });
+                d.gone(now, 0, i as CallNumber);
             }
             assert_eq!(fell, falls, "a call each {} ms", every / MS);
             assert_eq!(d.is_down(0), falls, "it stays down");
@@ -460,28 +465,34 @@
     #[test]
     fn troubles_show_in_answers_and_end() {
         for (kind, answer) in [
-            (Kind::LoseAnswers, Answer::Nothing),
-            (Kind::Reset, Answer::Reset),
-            (Kind::Spoil, Answer::Spoilt),
+            (EventKind::LoseAnswers, Answer::NoAnswer),
+            (EventKind::Reset, Answer::Reset),
+            (EventKind::Spoil, Answer::Malformed),
         ] {
             let mut d = destination(ROOMY, 1);
             d.begin(0, kind, 1.0, SECOND);
             let until = begun(&d.arrive(0, call(1))).unwrap().1;
-            assert_eq!(d.finish(until, 0, 1), [Out::Effect { call: 1 }, Out::Answer { call: 1, answer }]);
+            assert_eq!(
+                d.finish(until, 0, 1),
+                [Output::Effect { call: 1 }, Output::Answer { call: 1, answer }]
+            );
             d.end(SECOND, kind);
             let until = begun(&d.arrive(SECOND, call(2))).unwrap().1;
-            assert_eq!(d.finish(until, 0, 2)[1], Out::Answer { call: 2, answer: Answer::Served });
+            assert_eq!(d.finish(until, 0, 2)[1], Output::Answer { call: 2, answer: Answer::Served });
         }
         let mut d = destination(ROOMY, 1);
-        d.begin(0, Kind::Failing, 1.0, SECOND);
-        assert_eq!(d.arrive(0, call(1)), [Out::Answer { call: 1, answer: Answer::Error }]);
+        d.begin(0, EventKind::Failing, 1.0, SECOND);
+        assert_eq!(d.arrive(0, call(1)), [Output::Answer { call: 1, answer: Answer::Error }]);
         let until = {
-            d.end(0, Kind::Failing);
+            d.end(0, EventKind::Failing);
             begun(&d.arrive(0, call(2))).unwrap().1
         };
         assert!(until > 0);
         // What is in service when the process dies is reset, and nothing of it takes effect.
-        assert_eq!(d.begin(1, Kind::Down, 1.0, SECOND), [Out::Answer { call: 2, answer: Answer::Reset }]);
+        assert_eq!(
+            d.begin(1, EventKind::Down, 1.0, SECOND),
+            [Output::Answer { call: 2, answer: Answer::Reset }]
+        );
         assert_eq!(d.finish(until, 0, 2), []);
     }
 }
--- a/crates/testbed/src/platform/limit.rs
+++ b/crates/testbed/src/platform/limit.rs
@@ -1,10 +1,10 @@
 //! What a destination takes from all senders together: a plain rate, or a count in each span.
-use crate::clock::{seconds, Ns, SECOND};
+use crate::clock::{from_seconds, Ns, SECOND};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Form {
+pub enum LimitKind {
     /// So many calls a second, with half a second's worth of them at once.
     Rate,
     /// So many calls in each span of one second.
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Limit {
-    form: Form,
+    form: LimitKind,
     per_s: f64,
     /// Multiplies the rate while a trouble lowers it.
     by: f64,
@@ -29,8 +29,8 @@
 }
 
 impl Limit {
-    pub fn new(form: Form, per_s: f64, counts_refused: bool) -> Limit {
-        let level = if form == Form::Rate { burst(per_s) } else { 0.0 };
+    pub fn new(form: LimitKind, per_s: f64, counts_refused: bool) -> Limit {
+        let level = if form == LimitKind::Rate { burst(per_s) } else { 0.0 };
         Limit { form, per_s, by: 1.0, counts_refused, level, since: 0 }
     }
 
@@ -46,16 +46,16 @@
 
     fn fill(&mut self, now: Ns) {
         match self.form {
-            Form::Rate => {
+            LimitKind::Rate => {
                 let since = (now - self.since).max(0) as f64 / SECOND as f64;
                 self.level = (self.level + since * self.rate()).min(burst(self.rate()));
                 self.since = now;
             }
-            Form::Window if now - self.since >= SPAN => {
+            LimitKind::Window if now - self.since >= SPAN => {
                 self.since = now - (now - self.since) % SPAN;
                 self.level = 0.0;
             }
-            Form::Window => {}
+            LimitKind::Window => {}
         }
     }
 
@@ -63,14 +63,14 @@
     pub fn take(&mut self, now: Ns) -> Result<(), Ns> {
         self.fill(now);
         match self.form {
-            Form::Rate if self.level >= 1.0 => self.level -= 1.0,
-            Form::Rate => {
+            LimitKind::Rate if self.level >= 1.0 => self.level -= 1.0,
+            LimitKind::Rate => {
                 if self.counts_refused {
                     self.level = (self.level - 1.0).max(-burst(self.rate()));
                 }
-                return Err(seconds((1.0 - self.level) / self.rate()));
+                return Err(from_seconds((1.0 - self.level) / self.rate()));
             }
-            Form::Window => {
+            LimitKind::Window => {
                 let room = self.level + 1.0 <= self.rate().max(1.0);
                 if room || self.counts_refused {
                     self.level += 1.0;
@@ -101,7 +101,7 @@
 
     #[test]
     fn each_form_lets_its_rate_through_and_names_a_wait_after_which_there_is_room() {
-        for form in [Form::Rate, Form::Window] {
+        for form in [LimitKind::Rate, LimitKind::Window] {
             let mut limit = Limit::new(form, 10.0, false);
             let served = taken(&mut limit, 50, 10 * SECOND);
             assert!((100..=105).contains(&served), "{form:?}: {served} in 10 s at 10 a second");
@@ -114,15 +114,15 @@
 
     #[test]
     fn refused_calls_use_up_a_limit_that_counts_them() {
-        let mut plain = Limit::new(Form::Rate, 10.0, false);
-        let mut counting = Limit::new(Form::Rate, 10.0, true);
+        let mut plain = Limit::new(LimitKind::Rate, 10.0, false);
+        let mut counting = Limit::new(LimitKind::Rate, 10.0, true);
         assert!(taken(&mut plain, 20, 10 * SECOND) >= 100);
         assert!(taken(&mut counting, 20, 10 * SECOND) < 20, "twice the rate leaves next to nothing");
     }
 
     #[test]
     fn a_lowered_limit_takes_less_and_comes_back() {
-        let mut limit = Limit::new(Form::Window, 10.0, false);
+        let mut limit = Limit::new(LimitKind::Window, 10.0, false);
         limit.scale(0, 0.5);
         assert_eq!(taken(&mut limit, 50, 2 * SECOND), 10);
         limit.scale(2 * SECOND, 1.0);
--- a/crates/testbed/src/platform/list.rs
+++ b/crates/testbed/src/platform/list.rs
@@ -29,14 +29,14 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ListUpdate {
     pub generation: u64,
     /// The whole list (without what is gone) instead of changes.
     pub reset: bool,
     pub entries: Vec<Entry>,
 }
 
-pub struct List {
+pub struct EndpointList {
     generation: u64,
     /// All that were ever listed, in the order of their first listing.
     entries: Vec<Entry>,
@@ -44,10 +44,14 @@
     history: VecDeque<(u64, u32)>,
 }
 
-impl List {
-    pub fn new(listed: impl IntoIterator<Item = u32>) -> List {
+impl EndpointList {
+    pub fn new(listed: impl IntoIterator<Item = u32>) -> EndpointList {
         let ready = |endpoint| Entry { endpoint, lifecycle: Lifecycle::Ready };
-        List { generation: 1, entries: listed.into_iter().map(ready).collect(), history: VecDeque::new() }
+        EndpointList {
+            generation: 1,
+            entries: listed.into_iter().map(ready).collect(),
+            history: VecDeque::new(),
+        }
     }
 
     pub fn generation(&self) -> u64 {
@@ -78,18 +82,18 @@
     }
 
     /// What is new since a version; the whole list where none or one too old is named.
-    pub fn since(&self, index: Option<u64>) -> Told {
+    pub fn since(&self, index: Option<u64>) -> ListUpdate {
         let oldest = self.history.front().map_or(self.generation, |(g, _)| g - 1);
         match index {
             Some(index) if (oldest..=self.generation).contains(&index) => {
                 let changed = |e: &&Entry| self.history.iter().any(|(g, n)| *g > index && *n == e.endpoint);
                 let entries = self.entries.iter().filter(changed).copied().collect();
-                Told { generation: self.generation, reset: false, entries }
+                ListUpdate { generation: self.generation, reset: false, entries }
             }
             _ => {
                 let entries =
                     self.entries.iter().filter(|e| e.lifecycle != Lifecycle::Gone).copied().collect();
-                Told { generation: self.generation, reset: true, entries }
+                ListUpdate { generation: self.generation, reset: true, entries }
             }
         }
     }
@@ -101,7 +105,7 @@
 
     #[test]
     fn a_watch_gets_each_change_once_and_the_whole_list_where_it_is_too_far_behind() {
-        let mut list = List::new([0, 1]);
+        let mut list = EndpointList::new([0, 1]);
         assert!(list.since(None).reset);
         list.set(1, Lifecycle::Terminating);
         list.set(1, Lifecycle::Gone);
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -2,18 +2,18 @@
 use crate::clients;
 use crate::clock::{Clock, Ns, MS, SECOND};
 use crate::discovery::Discovery;
-use crate::endpoints::{Endpoints, Ground};
-use crate::judge::{self, Break, Case};
-use crate::lateness::{self, Lateness};
-use crate::ledger::{Fact, Ledger, What};
+use crate::endpoints::{Endpoints, StubContext};
+use crate::facts::{Fact, FactKind, FactLog};
+use crate::judge::{self, FactIndex, Violation};
 use crate::links::Links;
 use crate::machine::{self, Ticks};
-use crate::messages::Messages;
-use crate::plan::{Does, Plan};
+use crate::messages::MessageRegistry;
+use crate::plan::{Plan, StepAction};
 use crate::platform::list::Lifecycle;
 use crate::process::{Blow, Phase, ProcessError, Sender};
+use crate::scheduling_lag::{self, SchedulingLag};
 use crate::score::{self, Counts, Latency, Service};
-use crate::spec::{Folder, Kind, Link};
+use crate::spec::{EventKind, Link, StateFolder};
 use crate::strangers;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
@@ -58,7 +58,7 @@
     Ending {
         open: usize,
     },
-    Over,
+    Finished,
 }
 
 /// The outcome of a play, as `--json` prints it.
@@ -73,20 +73,22 @@
     pub service: Service,
     pub latency: Latency,
     /// All breaks of rules; none if all promises were kept.
-    pub breaks: Vec<Break>,
+    #[serde(rename = "breaks")]
+    pub violations: Vec<Violation>,
     /// Why the play says nothing of the senders, if it does not.
     pub void: Option<String>,
     /// How late the testbed itself was, in milliseconds.
     pub lateness_p99_ms: f64,
     /// About how many senders of this traffic each the machine can hold; none in simulated time.
-    pub holds: Option<usize>,
+    #[serde(rename = "holds")]
+    pub max_senders: Option<usize>,
 }
 
-pub const SCHEMA: u32 = 1;
+pub const VERDICT_SCHEMA: u32 = 1;
 
 impl Verdict {
     pub fn kept(&self) -> bool {
-        self.void.is_none() && self.breaks.is_empty()
+        self.void.is_none() && self.violations.is_empty()
     }
 }
 
@@ -109,11 +111,11 @@
     }
     let clock = Clock::new(Instant::now());
     let (void, mut voids) = mpsc::unbounded_channel();
-    let ground = Ground {
+    let ground = StubContext {
         clock,
-        ledger: Arc::new(Ledger::new(clock)),
-        lateness: Arc::new(Lateness::default()),
-        messages: Arc::new(Messages::default()),
+        fact_log: Arc::new(FactLog::new(clock)),
+        lag: Arc::new(SchedulingLag::default()),
+        messages: Arc::new(MessageRegistry::default()),
         void,
     };
     let mut stage = Stage::set(plan, program, work, &ground)?;
@@ -130,8 +132,8 @@
     let watching = async {
         loop {
             let at = clock.now() - from;
-            let open = ground.messages.open(clock.now(), GRACE);
-            progress.send_replace(match at < plan.terms.asking {
+            let open = ground.messages.count_open(clock.now(), GRACE);
+            progress.send_replace(match at < plan.terms.request_span {
                 true => Progress::Playing { at },
                 false => Progress::Ending { open },
             });
@@ -142,7 +144,7 @@
     let all = async {
         let (scheduled, ()) = tokio::join!(stage.schedule(plan, from), handing_in);
         scheduled?;
-        while ground.messages.open(clock.now(), GRACE) > 0 {
+        while ground.messages.count_open(clock.now(), GRACE) > 0 {
             sleep(LOOK_EVERY).await;
         }
         Ok::<(), PlayError>(())
@@ -153,13 +155,13 @@
     }
     let busy = Ticks::now().map_err(PlayError::Machine)?.busy_since(&before);
     stage.end().await;
-    progress.send_replace(Progress::Over);
-    let facts: Vec<Fact> = ground.ledger.take().into_iter().map(|f| f.shifted(from)).collect();
-    let late = ground.lateness.percentile(99.0);
+    progress.send_replace(Progress::Finished);
+    let facts: Vec<Fact> = ground.fact_log.take().into_iter().map(|f| f.shifted(from)).collect();
+    let late = ground.lag.percentile(99.0);
     let void = match voids.try_recv() {
         Ok(why) => Some(why),
-        Err(_) if late > lateness::BOUND => {
-            let bound = lateness::BOUND / MS;
+        Err(_) if late > scheduling_lag::MAX_P99 => {
+            let bound = scheduling_lag::MAX_P99 / MS;
             Some(format!("the testbed was late itself: p99 {} ms, {bound} ms at most", late / MS))
         }
         Err(_) => None,
@@ -167,7 +169,7 @@
     let verdict = Verdict {
         void,
         lateness_p99_ms: late as f64 / MS as f64,
-        holds: Some(machine::senders(plan.senders.len(), busy).min(holds)),
+        max_senders: Some(machine::senders(plan.senders.len(), busy).min(holds)),
         ..verdict(plan, &facts)
     };
     Ok(Played { verdict, facts })
@@ -175,26 +177,26 @@
 
 /// Judges facts of a play of this plan, as far as they tell.
 pub fn verdict(plan: &Plan, facts: &[Fact]) -> Verdict {
-    let case = Case::new(&plan.terms, facts);
-    let served = score::served(&case);
+    let case = FactIndex::new(&plan.terms, facts);
+    let served = score::request_results(&case);
     Verdict {
-        schema: SCHEMA,
+        schema: VERDICT_SCHEMA,
         title: plan.spec.title.clone(),
         seed: plan.seed.0,
         senders: plan.senders.len(),
         counts: score::counts(&case, &served),
         service: score::service(&case, &served),
         latency: score::latency(&served),
-        breaks: judge::breaks_of(&case),
+        violations: judge::violations_of(&case),
         void: None,
         lateness_p99_ms: 0.0,
-        holds: None,
+        max_senders: None,
     }
 }
 
 /// The stand-ins and the senders.
 struct Stage {
-    ground: Ground,
+    ground: StubContext,
     links: Arc<Links>,
     endpoints: Arc<Endpoints>,
     discovery: Discovery,
@@ -203,7 +205,7 @@
 }
 
 impl Stage {
-    fn set(plan: &Arc<Plan>, program: &Path, work: &Path, ground: &Ground) -> Result<Stage, PlayError> {
+    fn set(plan: &Arc<Plan>, program: &Path, work: &Path, ground: &StubContext) -> Result<Stage, PlayError> {
         let links = Arc::new(Links::new(plan, ground.clock));
         let endpoints = Arc::new(Endpoints::start(plan, &links, ground)?);
         let discovery = Discovery::start(plan, &endpoints, &links, ground)?;
@@ -226,7 +228,7 @@
         progress: &watch::Sender<Progress>,
     ) -> Result<(), PlayError> {
         for number in 0..self.senders.len() {
-            self.start(number as u32, Folder::Keep).await?;
+            self.start(number as u32, StateFolder::Keep).await?;
         }
         let until = Instant::now() + within;
         for (ready, sender) in self.senders.iter().enumerate() {
@@ -238,7 +240,7 @@
         Ok(())
     }
 
-    async fn start(&mut self, sender: u32, folder: Folder) -> Result<(), PlayError> {
+    async fn start(&mut self, sender: u32, folder: StateFolder) -> Result<(), PlayError> {
         let known = self.discovery.known(sender);
         let next = (sender as usize + 1) % self.senders.len();
         let other = self.senders[next].state();
@@ -249,41 +251,45 @@
     async fn schedule(&mut self, plan: &Plan, from: Ns) -> Result<(), PlayError> {
         for step in &plan.schedule {
             self.ground.clock.sleep_until(from + step.at).await;
-            tracing::info!(at_ms = step.at / MS, does = ?step.does, "by schedule");
-            self.carry_out(&step.does, from).await?;
+            tracing::info!(at_ms = step.at / MS, action = ?step.action, "by schedule");
+            self.carry_out(&step.action, from).await?;
         }
         Ok(())
     }
 
-    async fn carry_out(&mut self, does: &Does, from: Ns) -> Result<(), PlayError> {
+    async fn carry_out(&mut self, does: &StepAction, from: Ns) -> Result<(), PlayError> {
         let list = |endpoint, lifecycle| {
             self.endpoints.set(endpoint, lifecycle);
             self.discovery.change(endpoint, lifecycle);
         };
         match *does {
-            Does::Begin { dest, kind, size, until } => self.endpoints.begin(dest, kind, size, from + until),
-            Does::End { dest, kind } => self.endpoints.end(dest, kind),
-            Does::Drain { endpoint } => list(endpoint, Lifecycle::Terminating),
-            Does::Gone { endpoint } => list(endpoint, Lifecycle::Gone),
-            Does::Add { endpoint } => list(endpoint, Lifecycle::Ready),
-            Does::Kill { sender } => self.senders[sender as usize].strike(Blow::Kill),
-            Does::Terminate { sender } => self.senders[sender as usize].strike(Blow::Terminate),
-            Does::Pause { sender } => self.senders[sender as usize].strike(Blow::Pause),
-            Does::Continue { sender } => self.senders[sender as usize].strike(Blow::Continue),
-            Does::Start { sender, folder } => self.start(sender, folder).await?,
-            Does::Link { sender, link, kind, size, begins } => {
-                self.ground.ledger.note(What::Link { sender, link, kind, begins });
+            StepAction::Begin { dest, kind, size, until } => {
+                self.endpoints.begin(dest, kind, size, from + until)
+            }
+            StepAction::End { dest, kind } => self.endpoints.end(dest, kind),
+            StepAction::Drain { endpoint } => list(endpoint, Lifecycle::Terminating),
+            StepAction::Remove { endpoint } => list(endpoint, Lifecycle::Gone),
+            StepAction::Add { endpoint } => list(endpoint, Lifecycle::Ready),
+            StepAction::Kill { sender } => self.senders[sender as usize].strike(Blow::Kill),
+            StepAction::Terminate { sender } => self.senders[sender as usize].strike(Blow::Terminate),
+            StepAction::Pause { sender } => self.senders[sender as usize].strike(Blow::Pause),
+            StepAction::Continue { sender } => self.senders[sender as usize].strike(Blow::Continue),
+            StepAction::Start { sender, folder } => self.start(sender, folder).await?,
+            StepAction::Link { sender, link, kind, size, begins } => {
+                self.ground.fact_log.record(FactKind::LinkFault { sender, link, kind, begins });
                 self.links.strike(link, sender, kind, size, begins);
             }
-            Does::Discovery { kind: Kind::DiscoveryMoves, .. } => {
-                self.ground.ledger.note(What::Discovery { kind: Kind::DiscoveryMoves, begins: true });
+            StepAction::Discovery { kind: EventKind::DiscoveryMoves, .. } => {
+                self.ground
+                    .fact_log
+                    .record(FactKind::DiscoveryFault { kind: EventKind::DiscoveryMoves, begins: true });
                 self.discovery.moves()?;
                 for sender in &mut self.senders {
                     sender.move_discovery(self.discovery.address(sender.number()))?;
                 }
             }
-            Does::Discovery { kind, size, begins } => {
-                self.ground.ledger.note(What::Discovery { kind, begins });
+            StepAction::Discovery { kind, size, begins } => {
+                self.ground.fact_log.record(FactKind::DiscoveryFault { kind, begins });
                 self.discovery.trouble(kind, size, begins);
             }
         }
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,10 +1,10 @@
 //! Senders as child processes: each in a process group of its own, killed by the kernel where the testbed dies, its
 //! log kept up to a bound.
 use crate::addresses;
-use crate::endpoints::Ground;
-use crate::ledger::{Life, What};
+use crate::endpoints::StubContext;
+use crate::facts::{FactKind, ProcessEvent};
 use crate::plan::Plan;
-use crate::spec::{Folder, Sync};
+use crate::spec::{StateFolder, Sync};
 use rustix::process::{kill_process_group, set_parent_process_death_signal, Pid, Signal};
 use serde_json::{json, Value};
 use std::io;
@@ -69,7 +69,7 @@
     blows: Option<mpsc::UnboundedSender<Blow>>,
     /// By the schedule there is a process.
     wanted: bool,
-    ground: Ground,
+    ground: StubContext,
 }
 
 impl Sender {
@@ -79,7 +79,7 @@
         number: u32,
         (program, work): (&Path, &Path),
         discovery: SocketAddr,
-        ground: &Ground,
+        ground: &StubContext,
     ) -> Result<Sender, ProcessError> {
         let address = addresses::free().map_err(ProcessError::Address)?;
         let drawn = &plan.senders[number as usize];
@@ -133,8 +133,8 @@
         self.phase.subscribe()
     }
 
-    fn note(&self, life: Life) {
-        self.ground.ledger.note(What::Process { sender: self.number, life });
+    fn note(&self, life: ProcessEvent) {
+        self.ground.fact_log.record(FactKind::Process { sender: self.number, event: life });
     }
 
     fn write_config(&self) -> Result<PathBuf, ProcessError> {
@@ -157,7 +157,7 @@
     /// was not, as where two restarts cross each other, that one is left alone.
     pub async fn start(
         &mut self,
-        folder: Folder,
+        folder: StateFolder,
         other: &Path,
         known: Value,
         seed: u64,
@@ -174,13 +174,13 @@
         self.config["seed"] = json!(format!("{seed:016x}"));
         let config = self.write_config()?;
         match folder {
-            Folder::Keep => {}
-            Folder::Empty => {
+            StateFolder::Keep => {}
+            StateFolder::Empty => {
                 let state = self.state();
                 empty(&state).map_err(|error| ProcessError::File { path: state, error })?;
-                self.note(Life::Emptied);
+                self.note(ProcessEvent::Emptied);
             }
-            Folder::Another => self.mistake(other, &config).await?,
+            StateFolder::Another => self.mistake(other, &config).await?,
         }
         self.spawn(&config, false)
     }
@@ -196,9 +196,9 @@
         let refuses =
             timeout(self.ready_within, self.phase().wait_for(|p| *p != Phase::Starting)).await.is_ok();
         if refuses && *self.phase().borrow() == Phase::Down {
-            self.note(Life::Refused);
+            self.note(ProcessEvent::RefusedFolder);
         } else {
-            self.note(Life::TookAnothers);
+            self.note(ProcessEvent::TookForeignFolder);
             self.strike(Blow::Kill);
             self.wanted = true;
             let _ = timeout(ENDS_WITHIN, self.phase().wait_for(|p| *p == Phase::Down)).await;
@@ -230,7 +230,7 @@
         for output in [child.stdout.take().map(boxed), child.stderr.take().map(boxed)].into_iter().flatten() {
             tokio::spawn(keep_log(output, log.clone()));
         }
-        self.note(Life::Started);
+        self.note(ProcessEvent::Started);
         self.phase.send_replace(Phase::Starting);
         let (blows, to_do) = mpsc::unbounded_channel();
         self.blows = Some(blows);
@@ -316,11 +316,11 @@
     mut child: Child,
     mut blows: mpsc::UnboundedReceiver<Blow>,
     phase: Arc<watch::Sender<Phase>>,
-    ground: Ground,
+    ground: StubContext,
     sender: u32,
     ends: bool,
 ) {
-    let note = |life| ground.ledger.note(What::Process { sender, life });
+    let note = |life| ground.fact_log.record(FactKind::Process { sender, event: life });
     let mut asked = ends;
     let mut paused = false;
     loop {
@@ -333,10 +333,10 @@
             continue;
         }
         let (signal, life) = match blow {
-            Blow::Kill => (Signal::KILL, Some(Life::Killed)),
-            Blow::Terminate => (Signal::TERM, Some(Life::Terminated)),
-            Blow::Pause => (Signal::STOP, Some(Life::Paused)),
-            Blow::Continue => (Signal::CONT, Some(Life::Continued)),
+            Blow::Kill => (Signal::KILL, Some(ProcessEvent::Killed)),
+            Blow::Terminate => (Signal::TERM, Some(ProcessEvent::Terminated)),
+            Blow::Pause => (Signal::STOP, Some(ProcessEvent::Paused)),
+            Blow::Continue => (Signal::CONT, Some(ProcessEvent::Continued)),
             Blow::Reload => (Signal::HUP, None),
         };
         asked |= matches!(blow, Blow::Kill | Blow::Terminate);
@@ -353,7 +353,7 @@
             }
         }
     }
-    note(Life::Exited { asked });
+    note(ProcessEvent::Exited { expected: asked });
     phase.send_replace(Phase::Down);
 }
 
@@ -362,7 +362,7 @@
     at: SocketAddr,
     until: Instant,
     phase: Arc<watch::Sender<Phase>>,
-    ground: Ground,
+    ground: StubContext,
     sender: u32,
 ) {
     loop {
@@ -373,7 +373,7 @@
             break;
         }
         if Instant::now() >= until {
-            ground.ledger.note(What::Process { sender, life: Life::Late });
+            ground.fact_log.record(FactKind::Process { sender, event: ProcessEvent::NotReady });
             return;
         }
         sleep(ASK_EVERY).await;
@@ -386,6 +386,6 @@
         starting
     });
     if became {
-        ground.ledger.note(What::Process { sender, life: Life::Ready });
+        ground.fact_log.record(FactKind::Process { sender, event: ProcessEvent::Ready });
     }
 }
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -1,5 +1,5 @@
 //! A play on disk: `seed-N/` with the plan, the facts (a JSON object a line), the verdict, and the senders' folders.
-use crate::ledger::Fact;
+use crate::facts::Fact;
 use crate::plan::{Destination, Plan, Terms};
 use crate::play::{Played, Verdict};
 use serde::{Deserialize, Serialize};
@@ -22,23 +22,23 @@
 
 /// The part of `plan.json` that is read again.
 #[derive(Debug, Deserialize)]
-pub struct Drawn {
+pub struct SavedPlan {
     pub terms: Terms,
     pub destinations: Vec<Destination>,
 }
 
 /// The folder of an experiment.
-pub struct Folder(PathBuf);
+pub struct ExperimentFolder(PathBuf);
 
-impl Folder {
+impl ExperimentFolder {
     /// Creates it. One that exists is another experiment's, and left alone.
-    pub fn create(path: &Path) -> Result<Folder, RecordError> {
+    pub fn create(path: &Path) -> Result<ExperimentFolder, RecordError> {
         std::fs::create_dir(path).map_err(at(path))?;
-        Ok(Folder(std::path::absolute(path).map_err(at(path))?))
+        Ok(ExperimentFolder(std::path::absolute(path).map_err(at(path))?))
     }
 
-    pub fn open(path: &Path) -> Folder {
-        Folder(path.to_path_buf())
+    pub fn open(path: &Path) -> ExperimentFolder {
+        ExperimentFolder(path.to_path_buf())
     }
 
     fn seed(&self, seed: u64) -> PathBuf {
@@ -46,13 +46,13 @@
     }
 
     /// Where the senders of a play live.
-    pub fn work(&self, seed: u64) -> Result<PathBuf, RecordError> {
+    pub fn senders_folder(&self, seed: u64) -> Result<PathBuf, RecordError> {
         let path = self.seed(seed).join("senders");
         std::fs::create_dir_all(&path).map_err(at(&path))?;
         Ok(path)
     }
 
-    pub fn keep(&self, plan: &Plan, played: &Played) -> Result<(), RecordError> {
+    pub fn save(&self, plan: &Plan, played: &Played) -> Result<(), RecordError> {
         let folder = self.seed(plan.seed.0);
         std::fs::create_dir_all(&folder).map_err(at(&folder))?;
         let drawn = json!({"seed": plan.seed.0, "spec": plan.spec, "terms": plan.terms,
@@ -77,7 +77,7 @@
     }
 
     /// What the report needs of a play's plan.
-    pub fn drawn(&self, seed: u64) -> Result<Drawn, RecordError> {
+    pub fn plan(&self, seed: u64) -> Result<SavedPlan, RecordError> {
         let path = self.seed(seed).join("plan.json");
         let file = File::open(&path).map_err(at(&path))?;
         serde_json::from_reader(BufReader::new(file)).map_err(|error| {
--- a/crates/testbed/src/relay/mod.rs
+++ b/crates/testbed/src/relay/mod.rs
@@ -8,7 +8,7 @@
 pub use udp::Udp;
 
 use crate::clock::{Ns, MS};
-use crate::spec::Kind;
+use crate::spec::EventKind;
 use shape::Shape;
 
 /// A link as it is now. Both drivers follow a watch of it.
@@ -23,21 +23,21 @@
 
 impl Condition {
     /// Something begins or ends; `size` as in the experiment.
-    pub fn strike(&mut self, kind: Kind, size: f64, begins: bool) {
-        for (way, cuts) in [(&mut self.to, Kind::CutTo), (&mut self.back, Kind::CutBack)] {
+    pub fn strike(&mut self, kind: EventKind, size: f64, begins: bool) {
+        for (way, cuts) in [(&mut self.to, EventKind::CutTo), (&mut self.back, EventKind::CutBack)] {
             match kind {
-                Kind::Cut => way.cut = begins,
+                EventKind::Cut => way.cut = begins,
                 k if k == cuts => way.cut = begins,
-                Kind::Delay => {
+                EventKind::Delay => {
                     way.delay = if begins { (size * MS as f64) as Ns } else { 0 };
                     way.jitter = way.delay / 2;
                 }
-                Kind::Loss => way.loss = if begins { size } else { 0.0 },
-                Kind::Trickle => way.bandwidth = begins.then_some(size),
+                EventKind::Loss => way.loss = if begins { size } else { 0.0 },
+                EventKind::Trickle => way.bandwidth = begins.then_some(size),
                 _ => {}
             }
         }
-        if kind == Kind::Break && begins {
+        if kind == EventKind::Break && begins {
             self.breaks += 1;
         }
     }
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -5,9 +5,9 @@
 mod plots;
 mod series;
 
-use crate::judge::Case;
+use crate::judge::FactIndex;
 use crate::play::Verdict;
-use crate::record::{Folder, RecordError};
+use crate::record::{ExperimentFolder, RecordError};
 use crate::score;
 
 #[derive(Debug, thiserror::Error)]
@@ -30,7 +30,7 @@
 }
 
 /// The page for all plays of a folder.
-pub fn page(folder: &Folder) -> Result<String, ReportError> {
+pub fn page(folder: &ExperimentFolder) -> Result<String, ReportError> {
     let plays = folder.verdicts()?.into_iter().map(|verdict| shown(folder, verdict));
     let plays = plays.collect::<Result<Vec<Shown>, ReportError>>()?;
     if plays.is_empty() {
@@ -39,11 +39,11 @@
     Ok(page::render(&plays))
 }
 
-fn shown(folder: &Folder, verdict: Verdict) -> Result<Shown, ReportError> {
-    let (drawn, facts) = (folder.drawn(verdict.seed)?, folder.facts(verdict.seed)?);
-    let case = Case::new(&drawn.terms, &facts);
-    let served = score::served(&case);
-    let bands = series::bands(&facts, drawn.terms.asking);
+fn shown(folder: &ExperimentFolder, verdict: Verdict) -> Result<Shown, ReportError> {
+    let (drawn, facts) = (folder.plan(verdict.seed)?, folder.facts(verdict.seed)?);
+    let case = FactIndex::new(&drawn.terms, &facts);
+    let served = score::request_results(&case);
+    let bands = series::bands(&facts, drawn.terms.request_span);
     let seconds = series::seconds(&drawn.terms);
     let plot = |drawn: Result<String, plots::PlotError>| drawn.map_err(|e| ReportError::Plot(e.to_string()));
     Ok(Shown {
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -44,7 +44,7 @@
 }
 
 fn word(verdict: &Verdict) -> Markup {
-    match (&verdict.void, verdict.breaks.len()) {
+    match (&verdict.void, verdict.violations.len()) {
         (Some(_), _) => html! { span.void { "void" } },
         (None, 0) => html! { span.kept { "all rules kept" } },
         (None, n) => html! { span.broken { (n) " breaks of rules" } },
@@ -118,16 +118,16 @@
 }
 
 fn breaks(v: &Verdict) -> Markup {
-    let of = |rule: Rule| v.breaks.iter().filter(|b| b.rule == rule).count();
+    let of = |rule: Rule| v.violations.iter().filter(|b| b.rule == rule).count();
     html! {
-        @if !v.breaks.is_empty() {
+        @if !v.violations.is_empty() {
             table {
                 @for rule in Rule::ALL.into_iter().filter(|r| of(*r) > 0) {
                     tr { td { (rule.name()) } td.n { (of(rule)) } }
                 }
             }
-            ul { @for b in v.breaks.iter().take(LISTED) { li { (at(b.at)) " " (b.rule.name()) ": " (b.what) } } }
-            @if v.breaks.len() > LISTED { p.note { "and " (v.breaks.len() - LISTED) " more" } }
+            ul { @for b in v.violations.iter().take(LISTED) { li { (at(b.at)) " " (b.rule.name()) ": " (b.description) } } }
+            @if v.violations.len() > LISTED { p.note { "and " (v.violations.len() - LISTED) " more" } }
         }
     }
 }
--- a/crates/testbed/src/report/series.rs
+++ b/crates/testbed/src/report/series.rs
@@ -1,10 +1,10 @@
 //! Figures over time, a second each, and the faults as bands.
 use crate::clock::{Ns, MS, SECOND};
-use crate::judge::Case;
-use crate::ledger::{Fact, Life, Reply, What};
+use crate::facts::{Fact, FactKind, ProcessEvent, Reply};
+use crate::judge::FactIndex;
 use crate::plan::{Destination, Terms};
 use crate::platform::destination::Refusal;
-use crate::score::{End, Served};
+use crate::score::{RequestEnd, RequestResult};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
@@ -39,13 +39,13 @@
     pub seconds: Vec<[usize; ENDS.len()]>,
 }
 
-pub const ENDS: [(End, &str); 6] = [
-    (End::InTime, "in time"),
-    (End::Late, "late"),
-    (End::HandedBack, "handed back"),
-    (End::GivenUp, "given up"),
-    (End::Unheard, "never answered"),
-    (End::Lost, "lost"),
+pub const ENDS: [(RequestEnd, &str); 6] = [
+    (RequestEnd::InTime, "in time"),
+    (RequestEnd::Late, "late"),
+    (RequestEnd::HandedBack, "handed back"),
+    (RequestEnd::GivenUp, "given up"),
+    (RequestEnd::Unheard, "never answered"),
+    (RequestEnd::Lost, "lost"),
 ];
 
 /// One destination's calls in each second.
@@ -59,14 +59,14 @@
 
 /// Seconds in which messages are asked for.
 pub fn seconds(terms: &Terms) -> usize {
-    (terms.asking.max(SECOND) as f64 / SECOND as f64).ceil() as usize
+    (terms.request_span.max(SECOND) as f64 / SECOND as f64).ceil() as usize
 }
 
 fn second(at: Ns, seconds: usize) -> usize {
     ((at / SECOND).max(0) as usize).min(seconds - 1)
 }
 
-pub fn latency(served: &[Served], seconds: usize) -> LatencyOf {
+pub fn latency(served: &[RequestResult], seconds: usize) -> LatencyOf {
     let empty = Histogram::<u64>::new_with_bounds(1, 3_600_000, 3).expect("the bounds are valid");
     let mut all = vec![empty; seconds];
     for one in served {
@@ -81,7 +81,7 @@
     LatencyOf { p50: at(50.0), p99: at(99.0) }
 }
 
-pub fn outcomes(served: &[Served], seconds: usize) -> OutcomesOf {
+pub fn outcomes(served: &[RequestResult], seconds: usize) -> OutcomesOf {
     let mut all = vec![[0; ENDS.len()]; seconds];
     for one in served {
         if let Some(place) = ENDS.iter().position(|(end, _)| *end == one.end) {
@@ -91,7 +91,7 @@
     OutcomesOf { seconds: all }
 }
 
-pub fn limits(case: &Case, destinations: &[Destination], seconds: usize) -> Vec<LimitOf> {
+pub fn limits(case: &FactIndex, destinations: &[Destination], seconds: usize) -> Vec<LimitOf> {
     let mut busiest: Vec<usize> = (0..destinations.len()).collect();
     busiest.sort_by(|a, b| destinations[*b].share.total_cmp(&destinations[*a].share));
     busiest.truncate(SHOWN);
@@ -115,18 +115,22 @@
 pub fn bands(facts: &[Fact], end: Ns) -> Vec<Band> {
     let mut open: BTreeMap<(String, u32), Ns> = BTreeMap::new();
     let mut single: Vec<(String, u32, Ns, Ns, Whom)> = Vec::new();
-    for Fact { at, what } in facts {
-        let (name, number, begins, whom) = match what {
-            What::Trouble { dest, kind, begins } => (name(kind), *dest, *begins, Whom::Destination),
-            What::Link { sender, link, kind, begins } => {
+    for Fact { at, kind } in facts {
+        let (name, number, begins, whom) = match kind {
+            FactKind::DestinationFault { dest, kind, begins } => {
+                (name(kind), *dest, *begins, Whom::Destination)
+            }
+            FactKind::LinkFault { sender, link, kind, begins } => {
                 (format!("{} on link to {}", name(kind), name(link)), *sender, *begins, Whom::Link)
             }
-            What::Discovery { kind, begins } => (name(kind), 0, *begins, Whom::Discovery),
-            What::Process { sender, life } => match life {
-                Life::Killed | Life::Terminated => ("restart".to_string(), *sender, true, Whom::Sender),
-                Life::Ready => ("restart".to_string(), *sender, false, Whom::Sender),
-                Life::Paused => ("pause".to_string(), *sender, true, Whom::Sender),
-                Life::Continued => ("pause".to_string(), *sender, false, Whom::Sender),
+            FactKind::DiscoveryFault { kind, begins } => (name(kind), 0, *begins, Whom::Discovery),
+            FactKind::Process { sender, event } => match event {
+                ProcessEvent::Killed | ProcessEvent::Terminated => {
+                    ("restart".to_string(), *sender, true, Whom::Sender)
+                }
+                ProcessEvent::Ready => ("restart".to_string(), *sender, false, Whom::Sender),
+                ProcessEvent::Paused => ("pause".to_string(), *sender, true, Whom::Sender),
+                ProcessEvent::Continued => ("pause".to_string(), *sender, false, Whom::Sender),
                 _ => continue,
             },
             _ => continue,
@@ -187,21 +191,24 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::spec::Kind;
+    use crate::spec::EventKind;
 
     #[test]
     fn faults_that_strike_together_are_one_band_and_the_plays_own_end_is_none() {
-        let life = |at, sender, life| Fact { at, what: What::Process { sender, life } };
-        let shut = |at, begins| Fact { at, what: What::Trouble { dest: 4, kind: Kind::Shut, begins } };
+        let life = |at, sender, life| Fact { at, kind: FactKind::Process { sender, event: life } };
+        let shut = |at, begins| Fact {
+            at,
+            kind: FactKind::DestinationFault { dest: 4, kind: EventKind::Shut, begins },
+        };
         let facts = [
-            life(0, 0, Life::Ready),
+            life(0, 0, ProcessEvent::Ready),
             shut(2 * SECOND, true),
-            life(3 * SECOND, 0, Life::Killed),
-            life(3 * SECOND + MS, 2, Life::Killed),
-            life(4 * SECOND, 0, Life::Ready),
-            life(5 * SECOND, 2, Life::Ready),
+            life(3 * SECOND, 0, ProcessEvent::Killed),
+            life(3 * SECOND + MS, 2, ProcessEvent::Killed),
+            life(4 * SECOND, 0, ProcessEvent::Ready),
+            life(5 * SECOND, 2, ProcessEvent::Ready),
             shut(6 * SECOND, false),
-            life(40 * SECOND, 1, Life::Terminated),
+            life(40 * SECOND, 1, ProcessEvent::Terminated),
         ];
         let bands: Vec<(String, Ns, Ns)> =
             bands(&facts, 30 * SECOND).into_iter().map(|b| (b.what, b.from, b.to)).collect();
--- a/crates/testbed/src/scale/fleet.rs
+++ b/crates/testbed/src/scale/fleet.rs
@@ -7,7 +7,7 @@
 use super::deployment::{zone_name, MACHINE_TYPES, REGIONS, ZONES};
 use super::real_sender;
 use crate::clock::Clock;
-use crate::http::{Link, Start};
+use crate::http::{Connection, Start};
 use crate::seed::Seed;
 use catalogue::intake::{self, Taken};
 use catalogue::{Catalogue, Limits};
@@ -242,9 +242,9 @@
         }
     }
 
-    async fn get(&self, link: &mut Option<Link>, wait: Duration) -> Option<Vec<u8>> {
+    async fn get(&self, link: &mut Option<Connection>, wait: Duration) -> Option<Vec<u8>> {
         if link.is_none() {
-            *link = Some(Link::new(TcpStream::connect(self.discovery).await.ok()?, self.clock));
+            *link = Some(Connection::new(TcpStream::connect(self.discovery).await.ok()?, self.clock));
         }
         let open = link.as_mut()?;
         let index = self.catalogue.generation().unwrap_or_default();
@@ -254,7 +254,7 @@
             self.discovery
         );
         open.write(request.as_bytes()).await.ok()?;
-        let answer = open.read_answer().await.ok()?;
+        let answer = open.read_response().await.ok()?;
         (answer.start == Start::Status(200)).then_some(answer.body)
     }
 
--- a/crates/testbed/src/scale/list_service.rs
+++ b/crates/testbed/src/scale/list_service.rs
@@ -4,7 +4,7 @@
 use super::deployment::{Change, Deployment, REGIONS};
 use crate::addresses;
 use crate::clock::Clock;
-use crate::http::{self, Link, Start};
+use crate::http::{self, Connection, Start};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -166,12 +166,12 @@
     async fn accept(self: Arc<Self>, region: u32, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
-            let link = Link::new(stream, self.clock);
+            let link = Connection::new(stream, self.clock);
             tokio::spawn(self.clone().serve(region, link));
         }
     }
 
-    async fn serve(self: Arc<Self>, region: u32, mut link: Link) {
+    async fn serve(self: Arc<Self>, region: u32, mut link: Connection) {
         while let Ok(request) = link.read_request().await {
             let Start::Request { method, path } = &request.start else { return };
             let written = match (method.as_str(), path.split_once('?').unwrap_or((path, ""))) {
@@ -179,9 +179,9 @@
                 ("POST", ("/reports", _)) => {
                     let lines = request.body.split(|b| *b == b'\n').filter(|l| !l.is_empty()).count();
                     self.counters.notices.fetch_add(lines as u64, Ordering::Relaxed);
-                    link.write(&http::answer(204, "", b"")).await
+                    link.write(&http::response(204, "", b"")).await
                 }
-                _ => link.write(&http::answer(404, "", b"")).await,
+                _ => link.write(&http::response(404, "", b"")).await,
             };
             if written.is_err() || request.closes() {
                 return;
@@ -189,7 +189,7 @@
         }
     }
 
-    async fn list(&self, region: u32, link: &mut Link, path: usize, query: &str) -> io::Result<()> {
+    async fn list(&self, region: u32, link: &mut Connection, path: usize, query: &str) -> io::Result<()> {
         let of = |key: &str| {
             let pair = query.split('&').find_map(|p| p.split_once('=').filter(|(k, _)| *k == key));
             pair.and_then(|(_, v)| v.parse::<u64>().ok())
@@ -206,12 +206,12 @@
             };
             tokio::select! {
                 () = waited => {}
-                () = link.ended() => return Err(io::ErrorKind::ConnectionReset.into()),
+                () = link.closed() => return Err(io::ErrorKind::ConnectionReset.into()),
             }
         }
         tokio::select! {
             _ = cut.wait_for(|is_cut| !is_cut) => {}
-            () = link.ended() => return Err(io::ErrorKind::ConnectionReset.into()),
+            () = link.closed() => return Err(io::ErrorKind::ConnectionReset.into()),
         }
         let (answer, news) = {
             let mut log = self.log();
@@ -221,7 +221,7 @@
         self.write(link, &answer, news).await
     }
 
-    async fn write(&self, link: &mut Link, answer: &Answer, news: bool) -> io::Result<()> {
+    async fn write(&self, link: &mut Connection, answer: &Answer, news: bool) -> io::Result<()> {
         let head = format!(
             "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
             answer.len()
--- a/crates/testbed/src/scale/load.rs
+++ b/crates/testbed/src/scale/load.rs
@@ -2,8 +2,8 @@
 use super::deployment::{Addresses, Deployment};
 use super::traffic::{Skew, Traffic};
 use crate::addresses;
-use crate::clock::{ns, seconds, Clock, Ns, MS};
-use crate::http::{self, Link, Start};
+use crate::clock::{from_duration, from_seconds, Clock, Ns, MS};
+use crate::http::{self, Connection, Start};
 use crate::messages;
 use crate::plan::Class;
 use crate::seed::Seed;
@@ -90,7 +90,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let mut link = Link::new(stream, Clock::new(Instant::now()));
+                let mut link = Connection::new(stream, Clock::new(Instant::now()));
                 tokio::spawn(async move { while link.read_request().await.is_ok() {} });
             }
             Err(_) => sleep(PAUSE).await,
@@ -103,7 +103,7 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 seen.connections.fetch_add(1, Ordering::Relaxed);
-                let link = Link::new(stream, Clock::new(Instant::now()));
+                let link = Connection::new(stream, Clock::new(Instant::now()));
                 tokio::spawn(serve(link, work, seen.clone()));
             }
             Err(_) => sleep(PAUSE).await,
@@ -111,21 +111,21 @@
     }
 }
 
-async fn serve(mut link: Link, work: Duration, seen: Arc<Seen>) {
+async fn serve(mut link: Connection, work: Duration, seen: Arc<Seen>) {
     while let Ok(Ok(request)) = timeout(IDLE, link.read_request()).await {
         if request.start != (Start::Request { method: "POST".into(), path: "/v1/messages".into() }) {
             // Probes.
-            if link.write(&http::answer(200, "", b"")).await.is_err() {
+            if link.write(&http::response(200, "", b"")).await.is_err() {
                 return;
             }
             continue;
         }
         seen.calls.fetch_add(1, Ordering::Relaxed);
         sleep(work).await;
-        if link.write(&http::answer(200, "", b"")).await.is_err() {
+        if link.write(&http::response(200, "", b"")).await.is_err() {
             return;
         }
-        if let Some(id) = request.header("x-trace-id").and_then(messages::parse) {
+        if let Some(id) = request.header("x-trace-id").and_then(messages::parse_id) {
             seen.delivered.lock().expect("no holder panics").insert(id);
         }
     }
@@ -184,7 +184,7 @@
     at: SocketAddr,
     class: Class,
     clock: Clock,
-    idle: Mutex<Vec<(Link, Instant)>>,
+    idle: Mutex<Vec<(Connection, Instant)>>,
 }
 
 impl Load {
@@ -200,8 +200,8 @@
         let traffic = Traffic::new(self.skew, deployment.destinations());
         let gaps = Exp::new(self.per_second).expect("a positive rate");
         let (mut used, mut tasks, mut due) = (HashSet::new(), JoinSet::new(), 0);
-        while due < ns(self.lasts) {
-            due += seconds(gaps.sample(&mut random));
+        while due < from_duration(self.lasts) {
+            due += from_seconds(gaps.sample(&mut random));
             clock.sleep_until(due).await;
             let mut destination = traffic.draw(&mut random);
             while self.down_only && !deployment.is_down(destination) {
@@ -266,7 +266,7 @@
         let mut request = format!(
             "POST /{name} HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: {}\r\nX-Qos: {name}\r\n\
              X-Expires-In-Ms: {}\r\nContent-Length: {BODY}\r\nX-Consignee: dest={destination}\r\n\r\n",
-            messages::name(id),
+            messages::format_id(id),
             self.class.deadline / MS,
         )
         .into_bytes();
@@ -279,26 +279,26 @@
             }
         }
         let Ok(stream) = TcpStream::connect(self.at).await else { return Heard::Nothing };
-        let mut link = Link::new(stream, self.clock);
+        let mut link = Connection::new(stream, self.clock);
         let heard = exchange(&mut link, &request).await;
         self.keep(link);
         heard.unwrap_or(Heard::Nothing)
     }
 
-    fn kept(&self) -> Option<Link> {
+    fn kept(&self) -> Option<Connection> {
         let mut idle = self.idle.lock().expect("no holder panics");
         idle.retain(|(_, since)| since.elapsed() < KEPT);
         idle.pop().map(|(link, _)| link)
     }
 
-    fn keep(&self, link: Link) {
+    fn keep(&self, link: Connection) {
         self.idle.lock().expect("no holder panics").push((link, Instant::now()));
     }
 }
 
-async fn exchange(link: &mut Link, request: &[u8]) -> Option<Heard> {
+async fn exchange(link: &mut Connection, request: &[u8]) -> Option<Heard> {
     link.write(request).await.ok()?;
-    match link.read_answer().await.ok()?.start {
+    match link.read_response().await.ok()?.start {
         Start::Status(200 | 202) => Some(Heard::Taken),
         Start::Status(429 | 503) => Some(Heard::Refused),
         _ => Some(Heard::Nothing),
--- a/crates/testbed/src/scale/loop_probe.rs
+++ b/crates/testbed/src/scale/loop_probe.rs
@@ -6,7 +6,7 @@
 //! processor is not there yet, which counts as neither; how late the probe itself wakes from its pauses tells of that.
 use super::usage::{self, Scheduled};
 use crate::clock::Clock;
-use crate::http::{Link, Message, Start};
+use crate::http::{Connection, Message, Start};
 use serde::Serialize;
 use std::io;
 use std::net::SocketAddr;
@@ -148,13 +148,13 @@
     }
 }
 
-async fn ask(link: &mut Option<Link>, at: SocketAddr, clock: Clock) -> Option<()> {
+async fn ask(link: &mut Option<Connection>, at: SocketAddr, clock: Clock) -> Option<()> {
     if link.is_none() {
-        *link = Some(Link::new(TcpStream::connect(at).await.ok()?, clock));
+        *link = Some(Connection::new(TcpStream::connect(at).await.ok()?, clock));
     }
     let open = link.as_mut()?;
     open.write(QUESTION).await.ok()?;
-    matches!(open.read_answer().await, Ok(Message { start: Start::Status(_), .. })).then_some(())
+    matches!(open.read_response().await, Ok(Message { start: Start::Status(_), .. })).then_some(())
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/lateness.rs
+++ b/crates/testbed/src/scheduling_lag.rs
@@ -4,23 +4,23 @@
 use std::sync::Mutex;
 
 /// Past this 99th percentile the play is void: the stand-ins, not the senders, were slow.
-pub const BOUND: Ns = 20 * MS;
+pub const MAX_P99: Ns = 20 * MS;
 /// Figures past it are kept as it: one minute in microseconds.
 const MOST_US: u64 = 60_000_000;
 
-pub struct Lateness {
+pub struct SchedulingLag {
     /// In microseconds.
     seen: Mutex<Histogram<u64>>,
 }
 
-impl Default for Lateness {
-    fn default() -> Lateness {
+impl Default for SchedulingLag {
+    fn default() -> SchedulingLag {
         let seen = Histogram::new_with_bounds(1, MOST_US, 3).expect("the bounds are valid");
-        Lateness { seen: Mutex::new(seen) }
+        SchedulingLag { seen: Mutex::new(seen) }
     }
 }
 
-impl Lateness {
+impl SchedulingLag {
     /// Something planned for `planned` was done at `now`.
     pub fn note(&self, planned: Ns, now: Ns) {
         let late = ((now - planned).max(0) / 1_000) as u64;
--- a/crates/testbed/src/score.rs
+++ b/crates/testbed/src/score.rs
@@ -1,7 +1,7 @@
 //! How well a play was served: counts, latency, and G as the brief states it (2.1, 2.2, 3, 6.7).
 use crate::clock::{Ns, MS, SECOND};
-use crate::judge::{Call, Case, Message};
-use crate::ledger::{Heard, Notice, Reply};
+use crate::facts::{HandInResult, Notice, Reply};
+use crate::judge::{Call, FactIndex, Message};
 use crate::platform::destination::Refusal;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -67,7 +67,7 @@
 /// A request's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum End {
+pub enum RequestEnd {
     InTime,
     Late,
     HandedBack,
@@ -78,17 +78,17 @@
 
 /// One request as the report shows it.
 #[derive(Clone, Copy, Debug)]
-pub struct Served {
+pub struct RequestResult {
     pub at: Ns,
     pub class: usize,
-    pub end: End,
+    pub end: RequestEnd,
     /// From when it was asked for to its delivery.
     pub took: Option<Ns>,
     pub worth: f64,
 }
 
 /// What became of each request, in the order in which they were asked for.
-pub fn served(case: &Case) -> Vec<Served> {
+pub fn request_results(case: &FactIndex) -> Vec<RequestResult> {
     case.requests
         .values()
         .map(|request| {
@@ -99,37 +99,37 @@
             let class = &case.terms.classes[request.class];
             let took = delivered.map(|at| at - request.at);
             let end = match took {
-                Some(took) if took <= class.aim => End::InTime,
-                Some(took) if took <= class.deadline => End::Late,
-                Some(_) => End::GivenUp,
+                Some(took) if took <= class.aim => RequestEnd::InTime,
+                Some(took) if took <= class.deadline => RequestEnd::Late,
+                Some(_) => RequestEnd::GivenUp,
                 None => {
                     let last = messages.clone().next_back();
                     let given_up = |m: &&Message| m.notices.iter().any(|(_, n)| *n == Notice::GivenUp);
                     match last.and_then(|m| m.heard) {
-                        _ if taken.iter().any(|m| case.ended(m).is_none()) => End::Lost,
-                        _ if taken.iter().any(given_up) => End::GivenUp,
-                        Some((_, Heard::Refused)) => End::HandedBack,
-                        Some((_, Heard::Taken)) => End::HandedBack,
-                        Some((_, Heard::Failed)) => End::GivenUp,
-                        _ => End::Unheard,
+                        _ if taken.iter().any(|m| case.ended(m).is_none()) => RequestEnd::Lost,
+                        _ if taken.iter().any(given_up) => RequestEnd::GivenUp,
+                        Some((_, HandInResult::Refused)) => RequestEnd::HandedBack,
+                        Some((_, HandInResult::Accepted)) => RequestEnd::HandedBack,
+                        Some((_, HandInResult::Failed)) => RequestEnd::GivenUp,
+                        _ => RequestEnd::Unheard,
                     }
                 }
             };
             let worth = match (end, took) {
-                (End::InTime, _) => class.worth,
-                (End::Late, Some(took)) => {
+                (RequestEnd::InTime, _) => class.worth,
+                (RequestEnd::Late, Some(took)) => {
                     let late = (took - class.aim) as f64 / (class.deadline - class.aim).max(1) as f64;
                     class.worth * (1.0 - late * (1.0 - class.late_worth))
                 }
                 _ => 0.0,
             };
-            Served { at: request.at, class: request.class, end, took, worth }
+            RequestResult { at: request.at, class: request.class, end, took, worth }
         })
         .collect()
 }
 
-pub fn counts(case: &Case, served: &[Served]) -> Counts {
-    let ended = |end: End| served.iter().filter(|s| s.end == end).count();
+pub fn counts(case: &FactIndex, served: &[RequestResult]) -> Counts {
+    let ended = |end: RequestEnd| served.iter().filter(|s| s.end == end).count();
     let over = |reply: Reply| matches!(reply, Reply::Refused { why: Refusal::Limit, .. });
     let repeated = case.messages.values().filter(|m| {
         let once = case.class_of(m).is_some_and(|c| !case.terms.classes[c].may_repeat);
@@ -141,12 +141,12 @@
     Counts {
         lost_with_folder: with_folder.count(),
         asked: served.len(),
-        in_time: ended(End::InTime),
-        late: ended(End::Late),
-        handed_back: ended(End::HandedBack),
-        given_up: ended(End::GivenUp),
-        unheard: ended(End::Unheard),
-        lost: ended(End::Lost),
+        in_time: ended(RequestEnd::InTime),
+        late: ended(RequestEnd::Late),
+        handed_back: ended(RequestEnd::HandedBack),
+        given_up: ended(RequestEnd::GivenUp),
+        unheard: ended(RequestEnd::Unheard),
+        lost: ended(RequestEnd::Lost),
         repeated: repeated.count(),
         calls: case.calls.len(),
         over_limit: case.calls.iter().filter(|c| c.reply.is_some_and(|(_, r)| over(r))).count(),
@@ -155,9 +155,9 @@
     }
 }
 
-pub fn service(case: &Case, served: &[Served]) -> Service {
-    let worth_of = |s: &Served| case.terms.classes[s.class].worth;
-    let share = |of: &mut dyn Iterator<Item = &Served>| {
+pub fn service(case: &FactIndex, served: &[RequestResult]) -> Service {
+    let worth_of = |s: &RequestResult| case.terms.classes[s.class].worth;
+    let share = |of: &mut dyn Iterator<Item = &RequestResult>| {
         let (got, asked) = of.fold((0.0, 0.0), |(g, a), s| (g + s.worth, a + worth_of(s)));
         (got, asked)
     };
@@ -166,7 +166,7 @@
     let classes: Vec<f64> = (0..case.terms.classes.len())
         .map(|class| ratio(share(&mut served.iter().filter(|s| s.class == class))))
         .collect();
-    let starts = (0..=(case.terms.asking - WINDOW).max(0) / SECOND).map(|s| s * SECOND);
+    let starts = (0..=(case.terms.request_span - WINDOW).max(0) / SECOND).map(|s| s * SECOND);
     let window =
         |from: Ns| ratio(share(&mut served.iter().filter(|s| (from..from + WINDOW).contains(&s.at))));
     let worst_window = starts.map(window).fold(1.0, f64::min);
@@ -176,7 +176,7 @@
     Service { g, whole, worst_window, worst_class, prices, classes }
 }
 
-fn prices(case: &Case, served: &[Served]) -> f64 {
+fn prices(case: &FactIndex, served: &[RequestResult]) -> f64 {
     if served.is_empty() {
         return 0.0;
     }
@@ -185,7 +185,7 @@
     let ran = |c: &&Call| !c.effects.is_empty();
     let delivered = |c: &&Call| matches!(c.reply, Some((_, Reply::Delivered)));
     let wasted = case.calls.iter().filter(ran).filter(|c| !delivered(c)).count();
-    let late = |s: &&Served| s.worth == 0.0 && matches!(s.end, End::GivenUp | End::Lost);
+    let late = |s: &&RequestResult| s.worth == 0.0 && matches!(s.end, RequestEnd::GivenUp | RequestEnd::Lost);
     WASTE * wasted as f64 / tries
         + HANDSHAKE * case.connections as f64 / tries
         + PROBE * case.probes as f64 / tries
@@ -193,7 +193,7 @@
         + LATE_FAIL * served.iter().filter(late).count() as f64 / tries
 }
 
-pub fn latency(served: &[Served]) -> Latency {
+pub fn latency(served: &[RequestResult]) -> Latency {
     let most = 3_600 * 1_000_000;
     let mut seen = Histogram::<u64>::new_with_bounds(1, most, 3).expect("the bounds are valid");
     for took in served.iter().filter_map(|s| s.took) {
--- a/crates/testbed/src/sim/mod.rs
+++ b/crates/testbed/src/sim/mod.rs
@@ -7,7 +7,7 @@
 mod senders;
 mod world;
 
-use crate::ledger::Fact;
+use crate::facts::Fact;
 use crate::plan::Plan;
 use crate::play::{self, Verdict};
 
--- a/crates/testbed/src/sim/network.rs
+++ b/crates/testbed/src/sim/network.rs
@@ -1,7 +1,7 @@
 //! Calls and connections in simulated time: what stands between a sender and an endpoint.
 use crate::clock::{Ns, MS};
-use crate::ledger::MessageId;
-use crate::platform::destination::CallNo;
+use crate::facts::MessageId;
+use crate::platform::destination::CallNumber;
 use crate::relay::shape::{Lane, Shape};
 use crate::relay::Condition;
 use sender::api::MsgId;
@@ -88,4 +88,4 @@
     condition.is_none_or(Condition::connects)
 }
 
-pub type Calls = HashMap<CallNo, Call>;
+pub type Calls = HashMap<CallNumber, Call>;
--- a/crates/testbed/src/sim/senders.rs
+++ b/crates/testbed/src/sim/senders.rs
@@ -1,7 +1,7 @@
 //! A sender's process in simulated time: the module, what it holds, and the journal that outlasts it.
 use super::SimError;
 use crate::clock::{Ns, MS, SECOND};
-use crate::ledger::MessageId;
+use crate::facts::MessageId;
 use crate::plan::Plan;
 use sender::api::{Action, Event, Message, MsgId, PastAttempt, Settings};
 use sender::policy;
--- a/crates/testbed/src/sim/world/calls.rs
+++ b/crates/testbed/src/sim/world/calls.rs
@@ -1,8 +1,8 @@
 //! Calls: from a send to what the sender learns of its end.
 use super::{Happens, World};
 use crate::clock::{Ns, MS};
-use crate::ledger::{Reply, What};
-use crate::platform::destination::{self, Answer, CallNo, Out, Refusal};
+use crate::facts::{FactKind, Reply};
+use crate::platform::destination::{self, Answer, CallNumber, Output, Refusal};
 use crate::sim::network::{self, Call, WAY};
 use crate::sim::senders::{Process, Tried};
 use crate::spec::Link;
@@ -67,7 +67,7 @@
             call.connected = true;
             call.crowded =
                 self.plan.endpoints[endpoint as usize].connections.is_some_and(|most| held >= most);
-            self.note(What::Connected { sender, endpoint });
+            self.record(FactKind::Connected { sender, endpoint });
             delay += 2 * WAY;
         }
         let passes = match self.links.get_mut(&(Link::Endpoints, sender)) {
@@ -82,45 +82,45 @@
         self.queue.push(limit.max(now), Happens::Limit { call: number });
     }
 
-    pub(super) fn comes(&mut self, number: CallNo, fresh: bool) {
+    pub(super) fn comes(&mut self, number: CallNumber, fresh: bool) {
         let Some(call) = self.calls.get_mut(&number) else { return };
         call.there = true;
         let (sender, endpoint, message, first) = (call.sender, call.endpoint, call.wire, self.now);
-        self.note(What::Called { call: number, message, sender, endpoint, first, intact: true });
+        self.record(FactKind::CallReceived { call: number, message, sender, endpoint, first, intact: true });
         let handshake = if fresh { (self.plan.spec.platform.handshake_ms * MS as f64) as Ns } else { 0 };
         self.after(handshake, Happens::Arrives { call: number });
     }
 
-    pub(super) fn arrives(&mut self, number: CallNo) {
+    pub(super) fn arrives(&mut self, number: CallNumber) {
         let Some(call) = self.calls.get(&number) else { return };
         let (dest, place) = self.place(call.endpoint);
         let refusal = if call.attempt as usize >= self.plan.terms.max_attempts {
             Some(Refusal::Attempts)
         } else if self.now > call.due + 50 * MS {
-            Some(Refusal::Over)
+            Some(Refusal::Expired)
         } else {
             call.crowded.then_some(Refusal::Connections)
         };
         let work = call.work;
         let outs = match refusal {
-            Some(why) => vec![Out::Answer { call: number, answer: Answer::Refused(why, None) }],
+            Some(why) => vec![Output::Answer { call: number, answer: Answer::Refused(why, None) }],
             None => self.dests[dest as usize].arrive(self.now, destination::Call { number, place, work }),
         };
         self.carry_out(dest, outs);
     }
 
-    pub(super) fn carry_out(&mut self, dest: u32, outs: Vec<Out>) {
+    pub(super) fn carry_out(&mut self, dest: u32, outs: Vec<Output>) {
         for out in outs {
             match out {
-                Out::Begin { call, until } => {
+                Output::Begin { call, until } => {
                     let Some(place) = self.calls.get(&call).map(|c| c.place) else { continue };
                     self.queue.push(until, Happens::Finish { dest, place, call });
                 }
-                Out::Effect { call } => self.note(What::Effect { call }),
-                Out::Answer { call, answer } => self.answer(call, answer),
-                Out::Fell { place } => {
+                Output::Effect { call } => self.record(FactKind::Effect { call }),
+                Output::Answer { call, answer } => self.answer(call, answer),
+                Output::OverloadFailure { place } => {
                     let endpoint = self.endpoint(dest, place);
-                    self.note(What::Fell { endpoint });
+                    self.record(FactKind::OverloadFailure { endpoint });
                     self.reset(endpoint);
                 }
             }
@@ -138,27 +138,29 @@
         }
     }
 
-    pub(super) fn answer(&mut self, number: CallNo, answer: Answer) {
+    pub(super) fn answer(&mut self, number: CallNumber, answer: Answer) {
         let Some(call) = self.calls.get_mut(&number) else { return };
         call.there = false;
         let sender = call.sender;
         let (reply, outcome, wait) = match answer {
-            Answer::Served | Answer::Spoilt => (Reply::Delivered, Outcome::Served, None),
+            Answer::Served | Answer::Malformed => (Reply::Delivered, Outcome::Served, None),
             Answer::Error => (Reply::Error, Outcome::ServerError, None),
             Answer::Refused(why, wait) => {
                 let outcome = match why {
-                    Refusal::Slots | Refusal::Attempts | Refusal::Over | Refusal::Stray => Outcome::NotSent,
+                    Refusal::Slots | Refusal::Attempts | Refusal::Expired | Refusal::UnknownMessage => {
+                        Outcome::NotSent
+                    }
                     _ => Outcome::TurnedAway,
                 };
                 (Reply::Refused { why, wait }, outcome, wait)
             }
             Answer::Reset => (Reply::Broken, Outcome::ConnectionLost, None),
-            Answer::Nothing => return,
+            Answer::NoAnswer => return,
         };
-        self.note(What::Replied { call: number, reply });
-        let over = matches!(reply, Reply::Refused { why: Refusal::Over, .. });
+        self.record(FactKind::Replied { call: number, reply });
+        let over = matches!(reply, Reply::Refused { why: Refusal::Expired, .. });
         let crowd = matches!(reply, Reply::Refused { why: Refusal::Connections, .. });
-        let keeps = !crowd && !matches!(answer, Answer::Reset | Answer::Spoilt);
+        let keeps = !crowd && !matches!(answer, Answer::Reset | Answer::Malformed);
         let passes = match self.links.get_mut(&(Link::Endpoints, sender)) {
             Some(way) => network::passes(&way.condition.back, &mut way.back, self.now),
             None => Some(0),
@@ -171,7 +173,7 @@
     }
 
     /// The sender learns how a call ended.
-    pub(super) fn ends(&mut self, number: CallNo, outcome: Outcome, wait: Ns, done: bool, keeps: bool) {
+    pub(super) fn ends(&mut self, number: CallNumber, outcome: Outcome, wait: Ns, done: bool, keeps: bool) {
         let Some(call) = self.calls.remove(&number) else { return };
         match (call.connected, keeps) {
             (true, true) => self.pools.keep(self.now, call.sender, call.endpoint),
@@ -211,19 +213,19 @@
     }
 
     /// The sender ends a call's connection.
-    pub(super) fn leave(&mut self, number: CallNo, outcome: Outcome) {
+    pub(super) fn leave(&mut self, number: CallNumber, outcome: Outcome) {
         if let Some(call) = self.break_off(number) {
             self.book(&call, outcome, 0, false);
         }
     }
 
-    pub(super) fn break_off(&mut self, number: CallNo) -> Option<Call> {
+    pub(super) fn break_off(&mut self, number: CallNumber) -> Option<Call> {
         let call = self.calls.remove(&number)?;
         if call.connected {
             self.pools.end(call.endpoint);
         }
         if call.there {
-            self.note(What::Left { call: number });
+            self.record(FactKind::CallAbandoned { call: number });
             let (dest, place) = self.place(call.endpoint);
             let outs = self.dests[dest as usize].gone(self.now, place, number);
             self.carry_out(dest, outs);
@@ -240,7 +242,7 @@
         } else if self.dests[dest as usize].is_silent() || !connects {
             (self.senders[sender as usize].dial_timeout(), Outcome::NoConnection)
         } else {
-            self.note(What::Probed { sender, endpoint });
+            self.record(FactKind::Probed { sender, endpoint });
             let serves = self.dests[dest as usize].probe(self.now);
             (4 * WAY, if serves { Outcome::Served } else { Outcome::TurnedAway })
         };
--- a/crates/testbed/src/sim/world/asking.rs
+++ b/crates/testbed/src/sim/world/clients.rs
@@ -1,8 +1,8 @@
 //! Clients: who wants a message delivered, and who comes again with it.
 use super::{Asking, Happens, World, NOTICE_AGAIN, PATIENCE};
+use crate::client_retry::{HandInEnd, RetryState};
 use crate::clock::Ns;
-use crate::habits::{Client, End};
-use crate::ledger::{Heard, MessageId, Notice, What};
+use crate::facts::{FactKind, HandInResult, MessageId, Notice};
 use crate::sim::network::{self, WAY};
 use crate::sim::senders::{Held, Process};
 use crate::spec::Link;
@@ -12,10 +12,10 @@
     pub(super) fn ask(&mut self, request: u32) {
         let arrival = &self.plan.arrivals[request as usize];
         let (sender, dest, class) = (arrival.sender, arrival.dest, arrival.class);
-        self.note(What::Asked { request, sender, dest, class, planned: arrival.at });
+        self.record(FactKind::Requested { request, sender, dest, class, planned: arrival.at });
         let due = arrival.at + self.plan.terms.classes[class].deadline;
         let random = self.plan.seed.stream("client", request.into());
-        self.asking.insert(request, Asking { client: Client::new(sender, due), random });
+        self.asking.insert(request, Asking { client: RetryState::new(sender, due), random });
         self.hand_in(request);
     }
 
@@ -28,7 +28,7 @@
         let (due, handed) = (self.due(request), self.now);
         let Some(asking) = self.asking.get_mut(&request) else { return };
         let (sender, wire) = (asking.client.sender, asking.random.next_u64());
-        self.note(What::HandedIn { message: wire, request, sender, due });
+        self.record(FactKind::HandedIn { message: wire, request, sender, due });
         let to = match self.links.get_mut(&(Link::Clients, sender)) {
             Some(way) if !way.condition.connects() => None,
             Some(way) => network::passes(&way.condition.to, &mut way.to, self.now),
@@ -37,7 +37,7 @@
         match to {
             Some(to) => self.after(to + WAY, Happens::Offer { request, wire, sender, handed }),
             None => {
-                let heard = Heard::NoConnection;
+                let heard = HandInResult::NoConnection;
                 self.after(PATIENCE, Happens::Hears { request, wire, heard, told: None });
             }
         }
@@ -52,11 +52,11 @@
         let left = PATIENCE - (self.now - handed);
         let hears = |heard, told| Happens::Hears { request, wire, heard, told };
         if matches!(process, Process::Down | Process::Ending) {
-            return self.after(WAY, hears(Heard::NoConnection, None));
+            return self.after(WAY, hears(HandInResult::NoConnection, None));
         }
         // The client has left before it could hear anything, and the sender sees that.
         if process == Process::Paused || back.is_none_or(|back| back + WAY > left) {
-            return self.after(left.max(0), hears(Heard::Silence, None));
+            return self.after(left.max(0), hears(HandInResult::TimedOut, None));
         }
         let arrival = &self.plan.arrivals[request as usize];
         let held = Held {
@@ -72,22 +72,24 @@
                 self.requests.insert((sender, id), request);
                 self.rouse(sender);
             }
-            Err(backoff) => self.after(WAY, hears(Heard::Refused, Some(backoff))),
+            Err(backoff) => self.after(WAY, hears(HandInResult::Refused, Some(backoff))),
         }
     }
 
-    pub(super) fn hears(&mut self, request: u32, message: MessageId, heard: Heard, told: Option<Ns>) {
-        self.note(What::Heard { message, heard });
+    pub(super) fn hears(&mut self, request: u32, message: MessageId, heard: HandInResult, told: Option<Ns>) {
+        self.record(FactKind::HandInEnded { message, result: heard });
         let end = match heard {
-            Heard::Taken => return,
-            Heard::Failed => End::Over,
-            Heard::Refused => End::Refused(told),
-            Heard::Silence | Heard::Closed | Heard::NoConnection => End::Unanswered,
+            HandInResult::Accepted => return,
+            HandInResult::Failed => HandInEnd::Final,
+            HandInResult::Refused => HandInEnd::Refused(told),
+            HandInResult::TimedOut | HandInResult::Closed | HandInResult::NoConnection => {
+                HandInEnd::Unanswered
+            }
         };
         self.comes_again(request, end);
     }
 
-    pub(super) fn comes_again(&mut self, request: u32, end: End) {
+    pub(super) fn comes_again(&mut self, request: u32, end: HandInEnd) {
         let (now, senders) = (self.now, self.senders.len() as u32);
         let Some(Asking { client, random }) = self.asking.get_mut(&request) else { return };
         match client.next(end, now, senders, &self.plan.spec.clients, random) {
@@ -111,9 +113,9 @@
         if !passes {
             return self.after(NOTICE_AGAIN, Happens::Notice { request, wire, sender, notice, retry_in });
         }
-        self.note(What::Notice { message: wire, sender, notice });
+        self.record(FactKind::Notice { message: wire, sender, notice });
         if notice == Notice::HandedBack {
-            self.comes_again(request, End::Refused(retry_in));
+            self.comes_again(request, HandInEnd::Refused(retry_in));
         }
     }
 }
--- a/crates/testbed/src/sim/world/lists.rs
+++ b/crates/testbed/src/sim/world/lists.rs
@@ -1,8 +1,8 @@
 //! The list of endpoints: its changes, and whom they are told.
 use super::{Happens, World};
-use crate::clock::seconds;
-use crate::ledger::What;
-use crate::platform::list::{Entry, Lifecycle, Told};
+use crate::clock::from_seconds;
+use crate::facts::FactKind;
+use crate::platform::list::{Entry, Lifecycle, ListUpdate};
 use crate::sim::senders::Process;
 use crate::spec::Link;
 use rand::RngExt;
@@ -10,11 +10,11 @@
 
 impl World<'_> {
     pub(super) fn change(&mut self, endpoint: u32, lifecycle: Lifecycle) {
-        self.note(What::Changed { endpoint, lifecycle });
+        self.record(FactKind::EndpointChanged { endpoint, lifecycle });
         let [low, high] = self.plan.spec.platform.notice_s;
         let late = low + (high - low) * self.late.random::<f64>();
         // Nothing is told before what came earlier.
-        self.published = self.published.max(self.now + seconds(late));
+        self.published = self.published.max(self.now + from_seconds(late));
         self.queue.push(self.published, Happens::Publish { endpoint, lifecycle });
     }
 
@@ -34,7 +34,7 @@
             let told = self.list.since(Some(self.told[sender as usize]));
             self.told[sender as usize] = generation;
             for Entry { endpoint, lifecycle } in &told.entries {
-                self.note(What::Told { sender, endpoint: *endpoint, lifecycle: *lifecycle });
+                self.record(FactKind::ChangeSent { sender, endpoint: *endpoint, lifecycle: *lifecycle });
             }
             let list = self.listed(&told);
             self.tell(sender, list);
@@ -42,7 +42,7 @@
     }
 
     /// The list as the module is told of it.
-    pub(super) fn listed(&self, told: &Told) -> Event {
+    pub(super) fn listed(&self, told: &ListUpdate) -> Event {
         let entry = |e: &Entry| {
             let drawn = &self.plan.endpoints[e.endpoint as usize];
             let dest = &self.plan.destinations[drawn.dest as usize];
--- a/crates/testbed/src/sim/world/mod.rs
+++ b/crates/testbed/src/sim/world/mod.rs
@@ -1,6 +1,6 @@
 //! The play in simulated time: clients, senders, endpoints and the schedule, event by event.
-mod asking;
 mod calls;
+mod clients;
 mod lists;
 mod processes;
 mod schedule;
@@ -9,15 +9,15 @@
 use super::queue::Queue;
 use super::senders::{Process, Sender};
 use super::SimError;
+use crate::client_retry::RetryState;
 use crate::clock::{Ns, MS, SECOND};
-use crate::habits::Client;
-use crate::ledger::{Fact, Heard, Life, MessageId, Notice, What};
+use crate::facts::{Fact, FactKind, HandInResult, MessageId, Notice, ProcessEvent};
 use crate::plan::Plan;
-use crate::platform::destination::{CallNo, Destination};
-use crate::platform::list::{Lifecycle, List};
+use crate::platform::destination::{CallNumber, Destination};
+use crate::platform::list::{EndpointList, Lifecycle};
 use crate::relay::shape::Lane;
 use crate::relay::Condition;
-use crate::spec::{Folder, Kind, Link};
+use crate::spec::{EventKind, Link, StateFolder};
 use rand_chacha::ChaCha8Rng;
 use sender::api::{Event, MsgId, Outcome};
 use std::collections::{BTreeMap, HashMap};
@@ -46,7 +46,7 @@
     Hears {
         request: u32,
         wire: MessageId,
-        heard: Heard,
+        heard: HandInResult,
         told: Option<Ns>,
     },
     Round {
@@ -58,20 +58,20 @@
         life: u32,
     },
     Comes {
-        call: CallNo,
+        call: CallNumber,
         fresh: bool,
     },
     Arrives {
-        call: CallNo,
+        call: CallNumber,
     },
     Finish {
         dest: u32,
         place: usize,
-        call: CallNo,
+        call: CallNumber,
     },
     /// What the sender learns of a call; `keeps` its connection.
     Ends {
-        call: CallNo,
+        call: CallNumber,
         outcome: Outcome,
         wait: Ns,
         done: bool,
@@ -79,7 +79,7 @@
     },
     /// The sender waits no longer.
     Limit {
-        call: CallNo,
+        call: CallNumber,
     },
     Probed {
         sender: u32,
@@ -112,7 +112,7 @@
 
 /// A client with its message.
 struct Asking {
-    client: Client,
+    client: RetryState,
     random: ChaCha8Rng,
 }
 
@@ -136,13 +136,13 @@
     /// Each endpoint's destination, and its place there.
     places: Vec<(u32, usize)>,
     calls: Calls,
-    next_call: CallNo,
+    next_call: CallNumber,
     pools: Pools,
-    list: List,
+    list: EndpointList,
     /// The list's version that each sender was told last.
     told: Vec<u64>,
     /// Troubles of discovery under way.
-    discovery: Vec<Kind>,
+    discovery: Vec<EventKind>,
     links: BTreeMap<(Link, u32), Way>,
     late: ChaCha8Rng,
     /// When the last change is told that there was.
@@ -162,7 +162,7 @@
         };
         let mut links = BTreeMap::new();
         for link in [Link::Endpoints, Link::Discovery, Link::Clients] {
-            for sender in (0..senders.len() as u32).filter(|s| plan.hurts(link, *s)) {
+            for sender in (0..senders.len() as u32).filter(|s| plan.has_link_events(link, *s)) {
                 let lane = |way| Lane::new(plan.seed.stream(way, (link as u64) << 32 | u64::from(sender)));
                 let way = Way { condition: Condition::default(), to: lane("sim to"), back: lane("sim back") };
                 links.insert((link, sender), way);
@@ -186,7 +186,7 @@
             calls: Calls::new(),
             next_call: 1,
             pools: Pools::default(),
-            list: List::new(listed),
+            list: EndpointList::new(listed),
             discovery: Vec::new(),
             links,
             late: plan.seed.stream("notices", 0),
@@ -200,7 +200,7 @@
     /// Plays to the end; the facts are in the order of their times.
     pub fn run(mut self) -> Vec<Fact> {
         for sender in 0..self.senders.len() as u32 {
-            self.start(sender, Folder::Keep, 0);
+            self.start(sender, StateFolder::Keep, 0);
         }
         for (number, arrival) in self.plan.arrivals.iter().enumerate() {
             self.queue.push(arrival.at, Happens::Ask(number as u32));
@@ -208,7 +208,7 @@
         for (number, step) in self.plan.schedule.iter().enumerate() {
             self.queue.push(step.at, Happens::Step(number));
         }
-        let asked = self.plan.terms.asking;
+        let asked = self.plan.terms.request_span;
         let last = self.plan.terms.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let scheduled = self.plan.schedule.last().map_or(0, |s| s.at);
         let over = asked.max(scheduled) + last + GRACE;
@@ -231,8 +231,8 @@
         self.facts
     }
 
-    fn note(&mut self, what: What) {
-        self.facts.push(Fact { at: self.now, what });
+    fn record(&mut self, kind: FactKind) {
+        self.facts.push(Fact { at: self.now, kind });
     }
 
     fn after(&mut self, span: Ns, happens: Happens) {
@@ -279,7 +279,7 @@
             }
             Happens::Step(number) => {
                 let plan = self.plan;
-                self.step(&plan.schedule[number].does);
+                self.step(&plan.schedule[number].action);
             }
             Happens::Publish { endpoint, lifecycle } => {
                 self.list.set(endpoint, lifecycle);
@@ -289,7 +289,7 @@
             Happens::Exit { sender, life } => {
                 let one = &self.senders[sender as usize];
                 if one.life == life && one.process == Process::Ending {
-                    self.end_process(sender, Life::Exited { asked: true });
+                    self.end_process(sender, ProcessEvent::Exited { expected: true });
                 }
             }
             Happens::Look => {}
