--- a/crates/testbed/src/sim/world/processes.rs
+++ b/crates/testbed/src/sim/world/processes.rs
@@ -1,11 +1,11 @@
 //! Senders' processes: rounds of decisions, what they let go, starts and ends.
 use super::{Happens, World};
 use crate::clock::Ns;
-use crate::ledger::{Heard, Life, MessageId, Notice, What};
-use crate::platform::destination::CallNo;
+use crate::facts::{FactKind, HandInResult, MessageId, Notice, ProcessEvent};
+use crate::platform::destination::CallNumber;
 use crate::sim::network::{Call, WAY};
 use crate::sim::senders::{self, Process};
-use crate::spec::Folder;
+use crate::spec::StateFolder;
 use rand::Rng;
 use sender::api::{Action, Event, MsgId, Outcome};
 
@@ -38,9 +38,9 @@
                 }
                 Action::Refuse { id, backoff } => {
                     let told = (backoff > 0).then_some(backoff);
-                    self.let_go(sender, id, Heard::Refused, Notice::HandedBack, told);
+                    self.let_go(sender, id, HandInResult::Refused, Notice::HandedBack, told);
                 }
-                Action::Fail { id } => self.let_go(sender, id, Heard::Failed, Notice::GivenUp, None),
+                Action::Fail { id } => self.let_go(sender, id, HandInResult::Failed, Notice::GivenUp, None),
                 Action::Cancel { id, attempt } => {
                     let is = |c: &Call| c.sender == sender && c.id == id && c.attempt == attempt;
                     // By number, as the table's order is no seed's.
@@ -75,12 +75,19 @@
             .collect();
         for (id, wire) in taken {
             let Some(&request) = self.requests.get(&(sender, id)) else { continue };
-            self.after(WAY, Happens::Hears { request, wire, heard: Heard::Taken, told: None });
+            self.after(WAY, Happens::Hears { request, wire, heard: HandInResult::Accepted, told: None });
         }
     }
 
     /// The sender ends a message: to the client that waits for its answer, or by a notice.
-    pub(super) fn let_go(&mut self, sender: u32, id: MsgId, heard: Heard, notice: Notice, told: Option<Ns>) {
+    pub(super) fn let_go(
+        &mut self,
+        sender: u32,
+        id: MsgId,
+        heard: HandInResult,
+        notice: Notice,
+        told: Option<Ns>,
+    ) {
         let Some(held) = self.senders[sender as usize].held.remove(&id) else { return };
         let Some(request) = self.requests.remove(&(sender, id)) else { return };
         let wire = held.wire;
@@ -90,18 +97,18 @@
         }
     }
 
-    pub(super) fn start(&mut self, sender: u32, folder: Folder, ready: Ns) {
+    pub(super) fn start(&mut self, sender: u32, folder: StateFolder, ready: Ns) {
         let one = &mut self.senders[sender as usize];
         if one.process != Process::Down {
             return;
         }
         // One that found another's has refused it, and is started with its own.
-        if folder == Folder::Empty {
+        if folder == StateFolder::Empty {
             one.empty();
-            self.note(What::Process { sender, life: Life::Emptied });
+            self.record(FactKind::Process { sender, event: ProcessEvent::Emptied });
         }
         let life = self.senders[sender as usize].life;
-        self.note(What::Process { sender, life: Life::Started });
+        self.record(FactKind::Process { sender, event: ProcessEvent::Started });
         self.after(ready, Happens::Ready { sender, life });
     }
 
@@ -115,17 +122,17 @@
         }
         one.start(self.now, seed, list);
         self.told[sender as usize] = told.generation;
-        self.note(What::Process { sender, life: Life::Ready });
+        self.record(FactKind::Process { sender, event: ProcessEvent::Ready });
         self.rouse(sender);
     }
 
     /// A process ends, by whatever cause: its calls and its clients' connections with it.
-    pub(super) fn end_process(&mut self, sender: u32, life: Life) {
+    pub(super) fn end_process(&mut self, sender: u32, life: ProcessEvent) {
         if self.senders[sender as usize].process == Process::Down {
             return;
         }
-        self.note(What::Process { sender, life });
-        let mut calls: Vec<CallNo> =
+        self.record(FactKind::Process { sender, event: life });
+        let mut calls: Vec<CallNumber> =
             self.calls.iter().filter(|(_, c)| c.sender == sender).map(|(n, _)| *n).collect();
         calls.sort_unstable();
         for call in calls {
@@ -141,7 +148,7 @@
         for (id, wire) in unanswered {
             self.senders[sender as usize].held.remove(&id);
             if let Some(request) = self.requests.remove(&(sender, id)) {
-                self.after(WAY, Happens::Hears { request, wire, heard: Heard::Closed, told: None });
+                self.after(WAY, Happens::Hears { request, wire, heard: HandInResult::Closed, told: None });
             }
         }
     }
--- a/crates/testbed/src/spec.rs
+++ b/crates/testbed/src/spec.rs
@@ -1,35 +1,39 @@
-//! An experiment as its file states it: TOML, unknown keys refused, errors with line and column.
+//! The TOML file of an experiment: its types, defaults and validation.
+//!
+//! Unknown keys are refused, and errors name the line and column where there is one.
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 use toml::Spanned;
 
+/// Why an experiment can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum SpecError {
     #[error("cannot read {path}: {error}")]
     Read { path: PathBuf, error: std::io::Error },
     #[error("{path}: {error}")]
-    Form { path: PathBuf, error: Box<toml::de::Error> },
+    Syntax { path: PathBuf, error: Box<toml::de::Error> },
     #[error("{path}, line {line}, column {column}: {what}")]
     Value { path: PathBuf, line: usize, column: usize, what: String },
     #[error("{path}: {what}")]
-    Whole { path: PathBuf, what: String },
+    Invalid { path: PathBuf, what: String },
 }
 
+/// An experiment.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Spec {
     pub title: String,
-    /// How long clients hand messages in, in seconds. A play goes on until all that was taken on has ended.
+    /// How long clients hand in messages, in seconds. A play goes on until all accepted messages have ended.
     pub seconds: f64,
-    /// Senders: each a process, or in simulated time a module.
+    /// Number of senders: processes, or in simulated time instances of the decision module.
     pub senders: u32,
-    /// Plays, each with the next seed.
+    /// Number of plays. Each uses the seed after that of the play before.
     pub repetitions: u32,
     pub traffic: Traffic,
     pub platform: Platform,
     pub clients: Clients,
     pub program: Program,
-    /// What goes wrong, and when.
+    /// Faults and other events of the play.
     pub event: Vec<Event>,
 }
 
@@ -49,25 +53,25 @@
     }
 }
 
-/// Load, as in the brief, 2.1, 4.4 and 6.2.
+/// Traffic of the clients (brief, sections 2.1, 4.4 and 6.2).
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Traffic {
-    /// Messages a second over all senders, clumps among them.
+    /// Messages a second over all senders, including those in clumps.
     pub rate: f64,
-    /// That rate as a share of the full load, by which limits, slots and queues are sized.
+    /// `rate` as a share of the full load. Limits, slots and queues are sized for the full load.
     pub load: f64,
-    /// Rise and fall of the rate round its mean, as a share of it, over 20 s.
+    /// Amplitude of the rate's sine wave with a period of 20 s, as a share of its mean.
     pub swing: f64,
-    /// Share of messages that come in clumps for one destination.
+    /// Share of messages that come in clumps, bursts to one destination.
     pub clumps: f64,
-    /// A clump's size, in seconds of its destination's limit.
+    /// Size of a clump, lowest and highest, in seconds of its destination's rate limit.
     pub clump_s: [f64; 2],
-    /// Exponent of the destinations' shares (Zipf).
+    /// Exponent of the Zipf distribution of destinations' shares.
     pub zipf: f64,
-    /// Spread of the senders' shares: the deviation of their logarithm.
+    /// Standard deviation of the logarithm of senders' shares.
     pub sender_spread: f64,
-    /// Share of class `booking`; the rest is `rate-push`.
+    /// Share of messages of class `booking`; the others are of class `rate-push`.
     pub booking: f64,
 }
 
@@ -86,24 +90,25 @@
     }
 }
 
-/// Destinations and endpoints, as in the brief, 6.
+/// Destinations, endpoints and discovery (brief, section 6).
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Platform {
     pub destinations: u32,
     pub endpoints: u32,
-    /// Destinations that take bookings; the largest are among them.
+    /// Number of destinations that accept bookings: those with the most traffic.
     pub flagships: u32,
-    /// Zones over which endpoints are dealt out.
+    /// Number of zones. Endpoints are assigned to them in turn.
     pub zones: u32,
-    /// How late discovery tells a change, in seconds.
+    /// Shortest and longest delay after which discovery publishes a change, in seconds.
     pub notice_s: [f64; 2],
-    /// Share of calls that fail with 500 at any time.
+    /// Share of calls that fail with 500 including those outside of faults.
     pub error_rate: f64,
-    /// What a new connection costs its first call, in milliseconds.
+    /// Additional time of the first call on a new connection, in milliseconds.
     pub handshake_ms: f64,
-    /// Share of an endpoint's capacity at its return, and seconds until it has all of it.
+    /// Share of its capacity that an endpoint has when it is new or returns from an outage.
     pub cold_from: f64,
+    /// How long it takes the endpoint to return to full capacity, in seconds.
     pub cold_s: f64,
 }
 
@@ -123,19 +128,19 @@
     }
 }
 
-/// Habits of clients, as in PROTOCOL and the brief, 8.
+/// How clients retry (PROTOCOL, and brief, section 8).
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Share of refused messages that are handed in once more.
+    /// Share of refused messages that are handed in a second time.
     pub retry: f64,
-    /// Share of those that heed the time they are told.
+    /// Share of those second hand-ins that wait for the time given by `Retry-After`.
     pub honour: f64,
-    /// Their wait where they are told none or don't heed it, in milliseconds.
+    /// Shortest and longest wait of the other second hand-ins, in milliseconds.
     pub backoff_ms: [f64; 2],
-    /// When a message comes again to another sender that was not answered, in milliseconds.
+    /// Shortest and longest wait before a message that got no answer is handed to another sender, in milliseconds.
     pub again_ms: [f64; 2],
-    /// Peers a second that send no proper request.
+    /// Peers a second that send no valid request.
     pub strangers: f64,
 }
 
@@ -151,25 +156,28 @@
     }
 }
 
-/// The program under test and what its configuration says of its limits.
+/// The sender program under test and its configuration.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Program {
-    /// Path of the sender's binary; that of this build if absent.
+    /// Path of the sender's binary; defaults to that of this build.
     pub path: Option<PathBuf>,
     pub memory_mb: u32,
     pub sockets: u32,
     pub disk_mb: f64,
-    /// A process that is not ready after so many seconds never is (DEPLOY, Limits: clients come then all the same).
+    /// How long a process may take to be ready, in seconds. After that it counts as never ready, and clients begin all
+    /// the same (DEPLOY, Limits).
     pub ready_s: f64,
-    /// When what senders write down has to be on disk (`store.sync` in their configuration).
+    /// When what senders write to their journal has to be on disk (`store.sync` in their configuration).
     pub sync: Sync,
-    /// The span of `interval`, in milliseconds.
+    /// Time between two syncs with `Sync::Interval`, in milliseconds.
     pub interval_ms: u64,
-    /// Seconds between two snapshots of what senders have learned; absent: a killed sender learns anew.
+    /// Seconds between two snapshots of what senders have learned. Without it a killed sender starts with nothing
+    /// learned.
     pub learned_s: Option<u64>,
 }
 
+/// Values of `store.sync` in a sender's configuration.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Sync {
@@ -194,187 +202,200 @@
     }
 }
 
+/// What happens in an event, by the name that the experiment's file gives it. `size` is the event's size.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
-    /// Destinations: the process dies, refuses connections, and comes back cold.
+pub enum EventKind {
+    /// Destinations: the processes end, connections are refused, and the endpoints are cold afterwards.
     Down,
-    /// Destinations: no answer and no reset, and cold afterwards.
+    /// Destinations: neither answer nor reset connections; the endpoints are cold afterwards.
     Silent,
-    /// Destinations: refuse all calls until they open, and cold afterwards.
+    /// Destinations: refuse all calls until the end of the event; the endpoints are cold afterwards.
     Shut,
-    /// Destinations: the share `size` of calls fails quickly with 500.
+    /// Destinations: the share `size` of calls fails at once with 500.
     Failing,
-    /// Destinations: take `size` times as long.
+    /// Destinations: calls take `size` times as long.
     Slow,
-    /// Destinations: the share `size` of answers is lost after the effect.
+    /// Destinations: the share `size` of answers is not sent, though the call took effect.
     LoseAnswers,
-    /// Destinations: the share `size` of connections is reset under their call.
+    /// Destinations: the share `size` of calls takes effect, and then the connection is reset without an answer.
     Reset,
-    /// Destinations: the share `size` of answers can't be read.
+    /// Destinations: the share `size` of answers is malformed.
     Spoil,
-    /// Destinations: the limit is multiplied by `size`.
+    /// Destinations: the rate limit is multiplied by `size`.
     Limit,
-    /// Destinations: draw the further share `size` of all traffic.
+    /// Destinations: traffic is added until the added part is the share `size` of all traffic.
     HotDestination,
-    /// Senders: draw the further share `size` of all traffic.
+    /// Senders: traffic is added until the added part is the share `size` of all traffic.
     HotSender,
-    /// One endpoint of each destination that has two drains, goes, and a new one takes its place.
+    /// Destinations: of those with two endpoints or more, the second one drains and is removed, and a new one
+    /// replaces it.
     Replace,
-    /// Senders: SIGKILL, and a start anew after `for`.
+    /// Senders: SIGKILL, and a new start after `for`.
     Kill,
-    /// Senders: SIGTERM, SIGKILL 3.7 s later if need be, and a start anew after `for` from then.
+    /// Senders: SIGTERM, SIGKILL 3.7 s later if the process is still there, and a new start after `for` from then.
     Terminate,
     /// Senders: SIGSTOP, and SIGCONT after `for`.
     Pause,
-    /// A link of senders: nothing passes, either way, from the sender's peer on it back, or there.
+    /// A link: nothing passes in either direction.
     Cut,
+    /// A link: nothing passes from the side that connects.
     CutTo,
+    /// A link: nothing passes to the side that connects.
     CutBack,
-    /// A link: `size` milliseconds more each way, and up to half of that again.
+    /// A link: `size` milliseconds of delay each way, and up to half of that as jitter.
     Delay,
-    /// A link: the share `size` of segments has to be sent again.
+    /// A link: the share `size` of segments is lost and sent again.
     Loss,
-    /// A link: `size` bytes a second each way.
+    /// A link: the bandwidth is `size` bytes a second each way.
     Trickle,
     /// A link: all connections are reset, once.
     Break,
-    /// Discovery answers nobody.
+    /// Discovery answers no request for the list.
     DiscoverySilent,
-    /// Discovery answers lists with 503.
+    /// Discovery answers requests for the list with 503.
     DiscoveryRefuses,
-    /// Discovery answers `size` list calls a second, and any more with 503.
+    /// Discovery answers `size` requests for the list a second, and all others with 503.
     DiscoveryCrowded,
-    /// Discovery has lost its history: every watch gets the whole list anew.
+    /// Discovery loses its history: every watch gets the whole list again.
     DiscoveryResets,
-    /// Discovery moves to another address and tells so by configuration and SIGHUP.
+    /// Discovery moves to another address; senders get it in their configuration, with a SIGHUP.
     DiscoveryMoves,
 }
 
-impl Kind {
-    /// Whether it strikes senders (else destinations, or discovery).
-    pub fn of_senders(self) -> bool {
-        matches!(self, Kind::HotSender | Kind::Kill | Kind::Terminate | Kind::Pause) || self.of_links()
+impl EventKind {
+    /// Returns true if the event strikes senders or their links, rather than destinations or discovery.
+    pub fn strikes_senders(self) -> bool {
+        matches!(self, EventKind::HotSender | EventKind::Kill | EventKind::Terminate | EventKind::Pause)
+            || self.strikes_links()
     }
 
-    /// Whether it strikes a link of those senders.
-    pub fn of_links(self) -> bool {
-        use Kind::*;
+    /// Returns true if the event strikes links of senders.
+    pub fn strikes_links(self) -> bool {
+        use EventKind::*;
         matches!(self, Cut | CutTo | CutBack | Delay | Loss | Trickle | Break)
     }
 
-    pub fn of_discovery(self) -> bool {
-        use Kind::*;
+    /// Returns true if the event strikes discovery.
+    pub fn strikes_discovery(self) -> bool {
+        use EventKind::*;
         matches!(
             self,
             DiscoverySilent | DiscoveryRefuses | DiscoveryCrowded | DiscoveryResets | DiscoveryMoves
         )
     }
 
-    /// Whether it is a moment, with no end of its own.
-    pub fn is_moment(self) -> bool {
-        matches!(self, Kind::DiscoveryMoves | Kind::DiscoveryResets | Kind::Break)
+    /// Returns true if the event has no duration.
+    pub fn is_instantaneous(self) -> bool {
+        matches!(self, EventKind::DiscoveryMoves | EventKind::DiscoveryResets | EventKind::Break)
     }
 
-    /// The bounds of `size`, where it has one.
-    fn size(self) -> Option<(f64, f64)> {
+    /// Returns the lowest and highest `size`, or `None` if the event has no size.
+    fn size_bounds(self) -> Option<(f64, f64)> {
         match self {
-            Kind::Failing | Kind::LoseAnswers | Kind::Reset | Kind::Spoil => Some((0.0, 1.0)),
-            Kind::HotDestination | Kind::HotSender => Some((0.0, 0.9)),
-            Kind::Loss => Some((0.0, 0.9)),
-            Kind::Delay => Some((0.0, 10_000.0)),
-            Kind::Trickle => Some((100.0, 1e9)),
-            Kind::DiscoveryCrowded => Some((0.01, 1e6)),
-            Kind::Slow => Some((1.0, 100.0)),
-            Kind::Limit => Some((0.01, 100.0)),
+            EventKind::Failing | EventKind::LoseAnswers | EventKind::Reset | EventKind::Spoil => {
+                Some((0.0, 1.0))
+            }
+            EventKind::HotDestination | EventKind::HotSender => Some((0.0, 0.9)),
+            EventKind::Loss => Some((0.0, 0.9)),
+            EventKind::Delay => Some((0.0, 10_000.0)),
+            EventKind::Trickle => Some((100.0, 1e9)),
+            EventKind::DiscoveryCrowded => Some((0.01, 1e6)),
+            EventKind::Slow => Some((1.0, 100.0)),
+            EventKind::Limit => Some((0.01, 100.0)),
             _ => None,
         }
     }
 }
 
-/// Which of a sender's links.
+/// A link of a sender.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum Link {
-    /// To all endpoints.
+    /// The sender's connections to all endpoints.
     Endpoints,
-    /// To discovery, and with it the way of notices.
+    /// The sender's connections to discovery, which takes the notices too.
     Discovery,
-    /// From its clients.
+    /// The connections of the sender's clients.
     Clients,
 }
 
-/// What the lasting folder is at a sender's next start.
+/// What a restarted sender finds in its state folder.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Folder {
+pub enum StateFolder {
+    /// Its own state.
     #[default]
     Keep,
-    /// The machine was lost, and with it what the sender owed.
+    /// Nothing: the machine was lost, and with it the messages that the sender held.
     Empty,
-    /// By mistake it is a copy of the next sender's, as that stands then; once that was refused it is its own again.
+    /// A copy of the next sender's current state, by mistake. After the sender has refused it, it finds its own again.
     Another,
 }
 
+/// One event of an experiment.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
-    pub what: Spanned<Kind>,
-    /// Seconds after clients have begun.
+    #[serde(rename = "what")]
+    pub kind: Spanned<EventKind>,
+    /// When the event begins, in seconds after clients have begun.
     pub at: f64,
-    /// How long, in seconds.
+    /// How long the event lasts, in seconds.
     #[serde(rename = "for", default)]
-    pub lasts: f64,
-    /// The share of destinations' traffic, or of senders, that it strikes at least; drawn by the seed.
+    pub duration_s: f64,
+    /// Strikes at least this share of the destinations' traffic, or of the senders. Which ones is drawn from the seed.
     #[serde(default)]
     pub part: Option<f64>,
-    /// Those that it strikes by number, in place of `part`.
+    /// Numbers of the destinations or senders that it strikes, in place of `part`.
     #[serde(default)]
     pub which: Vec<u32>,
-    /// How hard, where it can be more or less.
+    /// Strength of the event, if its kind has one; `EventKind` says what it means.
     #[serde(default)]
     pub size: Option<f64>,
+    /// What a restarted sender finds in its state folder.
     #[serde(default)]
-    pub folder: Folder,
-    /// Which link, where one is struck.
+    pub folder: StateFolder,
+    /// Which link is struck, if the event strikes links.
     #[serde(default)]
     pub link: Option<Link>,
 }
 
 impl Spec {
+    /// Reads and validates an experiment's file.
     pub fn read(path: &Path) -> Result<Spec, SpecError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| SpecError::Read { path: path.to_path_buf(), error })?;
         Spec::parse(path, &text)
     }
 
-    /// Reads the file's text; `path` is for errors only.
+    /// Parses and validates the text of an experiment's file; `path` is for errors only.
     pub fn parse(path: &Path, text: &str) -> Result<Spec, SpecError> {
         let spec: Spec = toml::from_str(text)
-            .map_err(|error| SpecError::Form { path: path.to_path_buf(), error: Box::new(error) })?;
-        spec.check().map_err(|fault| match fault.at {
-            Some(at) => {
-                let before = &text[..at.min(text.len())];
+            .map_err(|error| SpecError::Syntax { path: path.to_path_buf(), error: Box::new(error) })?;
+        spec.validate().map_err(|invalid_value| match invalid_value.offset {
+            Some(offset) => {
+                let before = &text[..offset.min(text.len())];
                 let line = before.matches('\n').count() + 1;
                 let column = before.len() - before.rfind('\n').map_or(0, |n| n + 1) + 1;
-                SpecError::Value { path: path.to_path_buf(), line, column, what: fault.what }
+                SpecError::Value { path: path.to_path_buf(), line, column, what: invalid_value.message }
             }
-            None => SpecError::Whole { path: path.to_path_buf(), what: fault.what },
+            None => SpecError::Invalid { path: path.to_path_buf(), what: invalid_value.message },
         })?;
         Ok(spec)
     }
 
-    /// Sets one value by its dotted name, as `traffic.rate=80`, and checks the whole again.
+    /// Returns the experiment with one value changed, validated again. `assignment` has the form `traffic.rate=80`.
     pub fn set(&self, assignment: &str) -> Result<Spec, SpecError> {
-        let whole = |what: String| SpecError::Whole { path: PathBuf::from(assignment), what };
+        let invalid = |what: String| SpecError::Invalid { path: PathBuf::from(assignment), what };
         let (name, value) =
-            assignment.split_once('=').ok_or_else(|| whole("is not of the form key=value".into()))?;
-        // What is no TOML value by itself is a text without its quotes.
+            assignment.split_once('=').ok_or_else(|| invalid("is not of the form key=value".into()))?;
+        // A value that is not valid TOML is taken as a string without quotes.
         let value = toml::from_str::<toml::Table>(&format!("v = {value}"))
             .ok()
             .and_then(|mut t| t.remove("v"))
             .unwrap_or_else(|| toml::Value::String(value.to_string()));
-        let mut table = toml::Table::try_from(self).map_err(|e| whole(e.to_string()))?;
+        let mut table = toml::Table::try_from(self).map_err(|e| invalid(e.to_string()))?;
         let (parents, last) = match name.rsplit_once('.') {
             Some((parents, last)) => (parents.split('.').collect(), last),
             None => (Vec::new(), name),
@@ -383,128 +404,142 @@
         for parent in parents {
             at = match at.get_mut(parent) {
                 Some(toml::Value::Table(inner)) => inner,
-                _ => return Err(whole(format!("there is no table {parent}"))),
+                _ => return Err(invalid(format!("there is no table {parent}"))),
             };
         }
         at.insert(last.to_string(), value);
-        Spec::parse(Path::new(assignment), &toml::to_string(&table).map_err(|e| whole(e.to_string()))?)
+        Spec::parse(Path::new(assignment), &toml::to_string(&table).map_err(|e| invalid(e.to_string()))?)
     }
 
-    fn check(&self) -> Result<(), Fault> {
+    fn validate(&self) -> Result<(), InvalidValue> {
         let t = &self.traffic;
         let p = &self.platform;
         let c = &self.clients;
-        within("seconds", self.seconds, 1.0, 3_600.0)?;
-        within("senders", self.senders.into(), 1.0, 100_000.0)?;
-        within("repetitions", self.repetitions.into(), 1.0, 1_000.0)?;
-        within("traffic.rate", t.rate, 0.1, 20_000.0)?;
-        within("traffic.load", t.load, 0.05, 5.0)?;
-        within("traffic.swing", t.swing, 0.0, 1.0)?;
-        within("traffic.clumps", t.clumps, 0.0, 0.9)?;
-        within("traffic.zipf", t.zipf, 0.0, 3.0)?;
-        within("traffic.sender_spread", t.sender_spread, 0.0, 3.0)?;
-        within("traffic.booking", t.booking, 0.0, 1.0)?;
-        within("platform.destinations", p.destinations.into(), 1.0, 1_000.0)?;
-        within(
+        check_bounds("seconds", self.seconds, 1.0, 3_600.0)?;
+        check_bounds("senders", self.senders.into(), 1.0, 100_000.0)?;
+        check_bounds("repetitions", self.repetitions.into(), 1.0, 1_000.0)?;
+        check_bounds("traffic.rate", t.rate, 0.1, 20_000.0)?;
+        check_bounds("traffic.load", t.load, 0.05, 5.0)?;
+        check_bounds("traffic.swing", t.swing, 0.0, 1.0)?;
+        check_bounds("traffic.clumps", t.clumps, 0.0, 0.9)?;
+        check_bounds("traffic.zipf", t.zipf, 0.0, 3.0)?;
+        check_bounds("traffic.sender_spread", t.sender_spread, 0.0, 3.0)?;
+        check_bounds("traffic.booking", t.booking, 0.0, 1.0)?;
+        check_bounds("platform.destinations", p.destinations.into(), 1.0, 1_000.0)?;
+        check_bounds(
             "platform.endpoints",
             p.endpoints.into(),
             p.destinations.into(),
             4.0 * f64::from(p.destinations),
         )?;
-        within("platform.flagships", p.flagships.into(), 0.0, p.destinations.into())?;
-        within("platform.zones", p.zones.into(), 1.0, 100.0)?;
-        within("platform.error_rate", p.error_rate, 0.0, 1.0)?;
-        within("platform.handshake_ms", p.handshake_ms, 0.0, 1_000.0)?;
-        within("platform.cold_from", p.cold_from, 0.01, 1.0)?;
-        within("platform.cold_s", p.cold_s, 0.0, 600.0)?;
-        within("clients.retry", c.retry, 0.0, 1.0)?;
-        within("clients.honour", c.honour, 0.0, 1.0)?;
-        within("clients.strangers", c.strangers, 0.0, 1_000.0)?;
-        within("program.ready_s", self.program.ready_s, 0.1, 600.0)?;
-        within("program.interval_ms", self.program.interval_ms as f64, 1.0, 60e3)?;
-        within("program.disk_mb", self.program.disk_mb, 0.01, 1e6)?;
-        range("traffic.clump_s", t.clump_s, 0.1)?;
-        range("platform.notice_s", p.notice_s, 0.0)?;
-        range("clients.backoff_ms", c.backoff_ms, 0.0)?;
-        range("clients.again_ms", c.again_ms, 0.0)?;
+        check_bounds("platform.flagships", p.flagships.into(), 0.0, p.destinations.into())?;
+        check_bounds("platform.zones", p.zones.into(), 1.0, 100.0)?;
+        check_bounds("platform.error_rate", p.error_rate, 0.0, 1.0)?;
+        check_bounds("platform.handshake_ms", p.handshake_ms, 0.0, 1_000.0)?;
+        check_bounds("platform.cold_from", p.cold_from, 0.01, 1.0)?;
+        check_bounds("platform.cold_s", p.cold_s, 0.0, 600.0)?;
+        check_bounds("clients.retry", c.retry, 0.0, 1.0)?;
+        check_bounds("clients.honour", c.honour, 0.0, 1.0)?;
+        check_bounds("clients.strangers", c.strangers, 0.0, 1_000.0)?;
+        check_bounds("program.ready_s", self.program.ready_s, 0.1, 600.0)?;
+        check_bounds("program.interval_ms", self.program.interval_ms as f64, 1.0, 60e3)?;
+        check_bounds("program.disk_mb", self.program.disk_mb, 0.01, 1e6)?;
+        check_interval("traffic.clump_s", t.clump_s, 0.1)?;
+        check_interval("platform.notice_s", p.notice_s, 0.0)?;
+        check_interval("clients.backoff_ms", c.backoff_ms, 0.0)?;
+        check_interval("clients.again_ms", c.again_ms, 0.0)?;
         if t.booking > 0.0 && p.flagships == 0 {
-            return Err(Fault::new("bookings go to flagships only, and platform.flagships is 0"));
+            return Err(InvalidValue::new(
+                "traffic.booking is above 0, but platform.flagships is 0: only flagships accept bookings",
+            ));
         }
-        self.event.iter().try_for_each(|event| self.check_event(event))
+        self.event.iter().try_for_each(|event| self.validate_event(event))
     }
 
-    fn check_event(&self, event: &Event) -> Result<(), Fault> {
-        let kind = *event.what.get_ref();
-        let fault = |what: String| Err(Fault { at: Some(event.what.span().start), what });
+    fn validate_event(&self, event: &Event) -> Result<(), InvalidValue> {
+        let kind = *event.kind.get_ref();
+        let invalid_value =
+            |message: String| Err(InvalidValue { offset: Some(event.kind.span().start), message });
         if !(0.0..=self.seconds).contains(&event.at) {
-            return fault(format!("at is {}, outside the experiment's {} s", event.at, self.seconds));
+            return invalid_value(format!(
+                "at is {}, and has to be between 0 and the experiment's {} s",
+                event.at, self.seconds
+            ));
         }
-        if !(0.0..=3_600.0).contains(&event.lasts) {
-            return fault(format!("for is {}, which is no span of up to an hour", event.lasts));
+        if !(0.0..=3_600.0).contains(&event.duration_s) {
+            return invalid_value(format!("for is {}, and has to be between 0 and 3600 s", event.duration_s));
         }
-        match (kind.size(), event.size) {
+        match (kind.size_bounds(), event.size) {
             (Some((low, high)), Some(size)) if (low..=high).contains(&size) => {}
             (Some((low, high)), size) => {
-                return fault(format!("size has to be between {low} and {high}, and is {size:?}"));
+                return invalid_value(format!("size has to be between {low} and {high}, and is {size:?}"));
             }
-            (None, Some(_)) => return fault("this event has no size".into()),
+            (None, Some(_)) => return invalid_value("this event takes no size".into()),
             (None, None) => {}
         }
-        let (all, name) = if kind.of_senders() {
+        let (all, name) = if kind.strikes_senders() {
             (self.senders, "sender")
-        } else if kind.of_discovery() {
+        } else if kind.strikes_discovery() {
             (0, "discovery")
         } else {
             (self.platform.destinations, "destination")
         };
         match (event.part, event.which.is_empty()) {
-            (None, true) if kind.of_discovery() => {}
-            _ if kind.of_discovery() => {
-                return fault("it strikes discovery, which has no part and no numbers".into());
+            (None, true) if kind.strikes_discovery() => {}
+            _ if kind.strikes_discovery() => {
+                return invalid_value("an event of discovery takes neither part nor which".into());
             }
-            (Some(_), false) => return fault("it has both part and which".into()),
-            (None, true) => return fault("it needs part or which".into()),
+            (Some(_), false) => return invalid_value("an event takes either part or which, not both".into()),
+            (None, true) => return invalid_value("an event needs part or which".into()),
             (Some(part), true) if !(part > 0.0 && part <= 1.0) => {
-                return fault(format!("part is {part}, which is no share"));
+                return invalid_value(format!("part is {part}, and has to be above 0 and at most 1"));
             }
             _ => {}
         }
-        if let Some(number) = event.which.iter().find(|n| **n >= all && !kind.of_discovery()) {
-            return fault(format!("there is no {name} {number}: they count from 0, and there are {all}"));
+        if let Some(number) = event.which.iter().find(|n| **n >= all && !kind.strikes_discovery()) {
+            return invalid_value(format!(
+                "which names {name} {number}, but there are {all}, numbered from 0"
+            ));
         }
-        match (kind.of_links(), event.link) {
-            (true, None) => return fault("it needs link: endpoints, discovery or clients".into()),
-            (false, Some(_)) => return fault("it strikes no link".into()),
+        match (kind.strikes_links(), event.link) {
+            (true, None) => {
+                return invalid_value("an event on a link needs link: endpoints, discovery or clients".into())
+            }
+            (false, Some(_)) => return invalid_value("only an event on a link takes link".into()),
             _ => {}
         }
-        if event.folder != Folder::Keep && !matches!(kind, Kind::Kill | Kind::Terminate) {
-            return fault("only a restart has a folder".into());
+        if event.folder != StateFolder::Keep && !matches!(kind, EventKind::Kill | EventKind::Terminate) {
+            return invalid_value("only kill and terminate take folder".into());
         }
         Ok(())
     }
 }
 
-struct Fault {
-    at: Option<usize>,
-    what: String,
+/// A value outside its bounds, with its place in the file if that is known.
+struct InvalidValue {
+    /// Byte offset in the text.
+    offset: Option<usize>,
+    message: String,
 }
 
-impl Fault {
-    fn new(what: impl Into<String>) -> Fault {
-        Fault { at: None, what: what.into() }
+impl InvalidValue {
+    fn new(message: impl Into<String>) -> InvalidValue {
+        InvalidValue { offset: None, message: message.into() }
     }
 }
 
-fn within(name: &str, value: f64, low: f64, high: f64) -> Result<(), Fault> {
+/// Checks that a value is between `low` and `high`.
+fn check_bounds(name: &str, value: f64, low: f64, high: f64) -> Result<(), InvalidValue> {
     if (low..=high).contains(&value) {
         return Ok(());
     }
-    Err(Fault::new(format!("{name} is {value}, and has to be between {low} and {high}")))
+    Err(InvalidValue::new(format!("{name} is {value}, and has to be between {low} and {high}")))
 }
 
-fn range(name: &str, [low, high]: [f64; 2], least: f64) -> Result<(), Fault> {
+/// Checks that the two bounds of an interval rise, beginning at `least` or above.
+fn check_interval(name: &str, [low, high]: [f64; 2], least: f64) -> Result<(), InvalidValue> {
     if least <= low && low <= high && high.is_finite() {
         return Ok(());
     }
-    Err(Fault::new(format!("{name} is [{low}, {high}], and has to rise from {least} or more")))
+    Err(InvalidValue::new(format!("{name} is [{low}, {high}], and has to rise from {least} or more")))
 }
--- a/crates/testbed/src/strangers.rs
+++ b/crates/testbed/src/strangers.rs
@@ -1,9 +1,9 @@
 //! Peers that send no proper request: each form that the protocol and the terms exclude. A sender owes each an error
 //! or a close, and takes none of them on.
-use crate::clock::{seconds, Ns, MS, SECOND};
-use crate::endpoints::Ground;
-use crate::http::{Link, Start};
-use crate::ledger::What;
+use crate::clock::{from_seconds, Ns, MS, SECOND};
+use crate::endpoints::StubContext;
+use crate::facts::FactKind;
+use crate::http::{Connection, Start};
 use crate::plan::Plan;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp};
@@ -108,7 +108,7 @@
 ];
 
 /// Sends strangers at the rate of the experiment, in turn through all forms. Ends when all have their answer.
-pub async fn run(plan: &Arc<Plan>, doors: &[SocketAddr], ground: &Ground, from: Ns) {
+pub async fn run(plan: &Arc<Plan>, doors: &[SocketAddr], ground: &StubContext, from: Ns) {
     let rate = plan.spec.clients.strangers;
     if rate <= 0.0 {
         return;
@@ -118,8 +118,8 @@
     let mut at = 0;
     let mut peers = JoinSet::new();
     for form in FORMS.iter().cycle() {
-        at += seconds(gap.sample(&mut random));
-        if at >= plan.terms.asking {
+        at += from_seconds(gap.sample(&mut random));
+        if at >= plan.terms.request_span {
             break;
         }
         ground.clock.sleep_until(from + at).await;
@@ -129,15 +129,15 @@
     while peers.join_next().await.is_some() {}
 }
 
-async fn stranger(form: &'static Form, sender: u32, door: SocketAddr, ground: Ground) {
+async fn stranger(form: &'static Form, sender: u32, door: SocketAddr, ground: StubContext) {
     // One whose connection is refused has got its close.
     let Ok(stream) = TcpStream::connect(door).await else { return };
     let begun = ground.clock.now();
-    let mut link = Link::new(stream, ground.clock);
+    let mut link = Connection::new(stream, ground.clock);
     let talk = async {
         let written = link.write(&(form.bytes)()).await;
         // A sender may answer before it has read all, and close.
-        match (link.read_answer().await, written) {
+        match (link.read_response().await, written) {
             (Ok(answer), _) => answer.start,
             (Err(_), _) => Start::Status(0),
         }
@@ -150,6 +150,6 @@
         Err(_) => (None, false),
     };
     let (form, within) = (form.name.to_string(), form.within);
-    ground.ledger.note(What::Stranger { sender, form, within, answered, taken });
+    ground.fact_log.record(FactKind::Stranger { sender, form, within, answered, taken });
     tracing::debug!(sender, took_ms = took / MS, taken, "a stranger has its end");
 }
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -1,12 +1,12 @@
 //! Each rule of the judge: a ledger that keeps them all, and one edit of it for each rule that breaks just that one.
 use std::collections::BTreeSet;
 use testbed::clock::{Ns, MS, SECOND};
-use testbed::judge::{breaks, Rule};
-use testbed::ledger::{Fact, Heard, Life, Notice, Reply, What};
+use testbed::facts::{Fact, FactKind, HandInResult, Notice, ProcessEvent, Reply};
+use testbed::judge::{violations, Rule};
 use testbed::plan::{classes, Terms, BOOKING, RATE_PUSH};
 use testbed::platform::destination::Refusal;
 use testbed::platform::list::Lifecycle;
-use testbed::spec::Kind;
+use testbed::spec::EventKind;
 
 const SENDER: u32 = 0;
 /// Endpoints 0 and 1 are destination 0's, endpoint 2 is destination 1's.
@@ -19,8 +19,8 @@
         classes: classes(),
         dest_of: vec![0, 0, 1],
         max_attempts: 8,
-        asking: 30 * SECOND,
-        fall: 3 * SECOND,
+        request_span: 30 * SECOND,
+        overload_window: 3 * SECOND,
     }
 }
 
@@ -29,8 +29,8 @@
 struct Story(Vec<Fact>);
 
 impl Story {
-    fn at(&mut self, at: Ns, what: What) -> &mut Story {
-        self.0.push(Fact { at, what });
+    fn at(&mut self, at: Ns, kind: FactKind) -> &mut Story {
+        self.0.push(Fact { at, kind });
         self
     }
 
@@ -38,46 +38,49 @@
     fn taken(&mut self, at: Ns, message: u64, class: usize) -> &mut Story {
         let (request, dest, sender) = (message as u32, 0, SENDER);
         let due = at + terms().classes[class].deadline;
-        self.at(at, What::Asked { request, sender, dest, class, planned: at })
-            .at(at + MS, What::HandedIn { message, request, sender, due })
-            .at(at + 2 * MS, What::Heard { message, heard: Heard::Taken })
+        self.at(at, FactKind::Requested { request, sender, dest, class, planned: at })
+            .at(at + MS, FactKind::HandedIn { message, request, sender, due })
+            .at(at + 2 * MS, FactKind::HandInEnded { message, result: HandInResult::Accepted })
     }
 
     fn called(&mut self, at: Ns, call: u64, message: u64, endpoint: u32) -> &mut Story {
-        self.at(at, What::Called { call, message, sender: SENDER, endpoint, first: at, intact: true })
+        self.at(
+            at,
+            FactKind::CallReceived { call, message, sender: SENDER, endpoint, first: at, intact: true },
+        )
     }
 
     fn replied(&mut self, at: Ns, call: u64, reply: Reply) -> &mut Story {
-        self.at(at, What::Replied { call, reply })
+        self.at(at, FactKind::Replied { call, reply })
     }
 
     fn delivered(&mut self, at: Ns, call: u64, message: u64) -> &mut Story {
-        self.called(at, call, message, ENDPOINT).at(at + 100 * MS, What::Effect { call }).replied(
+        self.called(at, call, message, ENDPOINT).at(at + 100 * MS, FactKind::Effect { call }).replied(
             at + 100 * MS,
             call,
             Reply::Delivered,
         )
     }
 
-    fn life(&mut self, at: Ns, life: Life) -> &mut Story {
-        self.at(at, What::Process { sender: SENDER, life })
+    fn life(&mut self, at: Ns, life: ProcessEvent) -> &mut Story {
+        self.at(at, FactKind::Process { sender: SENDER, event: life })
     }
 
     fn notice(&mut self, at: Ns, message: u64, notice: Notice) -> &mut Story {
-        self.at(at, What::Notice { message, sender: SENDER, notice })
+        self.at(at, FactKind::Notice { message, sender: SENDER, notice })
     }
 
     fn broken(&self) -> BTreeSet<Rule> {
         let mut facts = self.0.clone();
         facts.sort_by_key(|f| f.at);
-        breaks(&terms(), &facts).into_iter().map(|b| b.rule).collect()
+        violations(&terms(), &facts).into_iter().map(|b| b.rule).collect()
     }
 }
 
 /// A sender that does everything that is hard rightly: refusals, waits, a restart, a drain, a cold return.
 fn kept() -> Story {
     let mut story = Story::default();
-    story.life(-300 * MS, Life::Started).life(-100 * MS, Life::Ready);
+    story.life(-300 * MS, ProcessEvent::Started).life(-100 * MS, ProcessEvent::Ready);
     story.taken(0, 1, BOOKING);
     // Turned away with a wait, and called again just after it.
     let refused = |wait| Reply::Refused { why: Refusal::Limit, wait };
@@ -99,8 +102,11 @@
     );
     story.delivered(3_400 * MS, 6, 3);
     // A drain.
-    story.at(4 * SECOND, What::Changed { endpoint: 1, lifecycle: Lifecycle::Terminating });
-    story.at(5 * SECOND, What::Told { sender: SENDER, endpoint: 1, lifecycle: Lifecycle::Terminating });
+    story.at(4 * SECOND, FactKind::EndpointChanged { endpoint: 1, lifecycle: Lifecycle::Terminating });
+    story.at(
+        5 * SECOND,
+        FactKind::ChangeSent { sender: SENDER, endpoint: 1, lifecycle: Lifecycle::Terminating },
+    );
     story.taken(5_390 * MS, 4, RATE_PUSH).called(5_400 * MS, 7, 4, 1).replied(
         5_500 * MS,
         7,
@@ -108,14 +114,14 @@
     );
     // A kill, and what was taken on before ends a little late after it.
     story.taken(7 * SECOND, 5, BOOKING);
-    story.life(22_900 * MS, Life::Killed).life(22_901 * MS, Life::Exited { asked: true });
-    story.life(23_500 * MS, Life::Started).life(23_700 * MS, Life::Ready);
+    story.life(22_900 * MS, ProcessEvent::Killed).life(22_901 * MS, ProcessEvent::Exited { expected: true });
+    story.life(23_500 * MS, ProcessEvent::Started).life(23_700 * MS, ProcessEvent::Ready);
     story.notice(24_900 * MS, 5, Notice::GivenUp);
     // Strangers have their error or their close.
     let form = || "no id".to_string();
     story.at(
         SECOND,
-        What::Stranger {
+        FactKind::Stranger {
             sender: SENDER,
             form: form(),
             within: 3 * SECOND,
@@ -134,40 +140,40 @@
     assert_eq!(story.broken(), BTreeSet::from([rule]));
 }
 
-fn without(story: &mut Story, is: impl Fn(&What) -> bool) {
+fn without(story: &mut Story, is: impl Fn(&FactKind) -> bool) {
     let before = story.0.len();
-    story.0.retain(|f| !is(&f.what));
+    story.0.retain(|f| !is(&f.kind));
     assert_ne!(story.0.len(), before, "the edit found nothing");
 }
 
 #[test]
 fn lost_where_a_message_has_no_end() {
-    only(Rule::Lost, |s| without(s, |w| matches!(w, What::Notice { message: 2, .. })));
+    only(Rule::Lost, |s| without(s, |w| matches!(w, FactKind::Notice { message: 2, .. })));
 }
 
 #[test]
 fn lost_where_clients_are_left_without_an_answer() {
     only(Rule::Lost, |s| {
         let (request, sender, dest) = (9, SENDER, 0);
-        s.at(SECOND, What::Asked { request, sender, dest, class: RATE_PUSH, planned: SECOND });
-        s.at(SECOND, What::HandedIn { message: 9, request, sender, due: 9 * SECOND });
-        s.at(SECOND + MS, What::Heard { message: 9, heard: Heard::Closed });
+        s.at(SECOND, FactKind::Requested { request, sender, dest, class: RATE_PUSH, planned: SECOND });
+        s.at(SECOND, FactKind::HandedIn { message: 9, request, sender, due: 9 * SECOND });
+        s.at(SECOND + MS, FactKind::HandInEnded { message: 9, result: HandInResult::Closed });
     });
 }
 
 #[test]
 fn an_emptied_folder_excuses_what_was_owed() {
     let mut story = kept();
-    without(&mut story, |w| matches!(w, What::Notice { message: 5, .. }));
+    without(&mut story, |w| matches!(w, FactKind::Notice { message: 5, .. }));
     assert_eq!(story.broken(), BTreeSet::from([Rule::Lost]));
-    story.life(23 * SECOND, Life::Emptied);
+    story.life(23 * SECOND, ProcessEvent::Emptied);
     assert_eq!(story.broken(), BTreeSet::new());
 }
 
 #[test]
 fn late_end_where_a_notice_comes_after_the_time() {
     only(Rule::LateEnd, |s| {
-        without(s, |w| matches!(w, What::Notice { message: 2, .. }));
+        without(s, |w| matches!(w, FactKind::Notice { message: 2, .. }));
         s.notice(18_400 * MS, 2, Notice::GivenUp);
     });
 }
@@ -175,7 +181,7 @@
 #[test]
 fn late_end_where_a_restart_does_not_excuse_it() {
     only(Rule::LateEnd, |s| {
-        without(s, |w| matches!(w, What::Notice { message: 5, .. }));
+        without(s, |w| matches!(w, FactKind::Notice { message: 5, .. }));
         s.notice(25_300 * MS, 5, Notice::GivenUp);
     });
 }
@@ -201,7 +207,7 @@
 #[test]
 fn twice_where_a_booking_is_handed_back_after_an_error() {
     only(Rule::Twice, |s| {
-        without(s, |w| matches!(w, What::Notice { message: 2, .. }));
+        without(s, |w| matches!(w, FactKind::Notice { message: 2, .. }));
         s.notice(2_300 * MS, 2, Notice::HandedBack);
     });
 }
@@ -216,7 +222,7 @@
 #[test]
 fn drain_where_it_counts_as_told() {
     only(Rule::Drain, |s| {
-        without(s, |w| matches!(w, What::Told { .. }));
+        without(s, |w| matches!(w, FactKind::ChangeSent { .. }));
         s.called(10_600 * MS, 90, 4, 1).replied(10_700 * MS, 90, Reply::Delivered);
     });
 }
@@ -232,18 +238,20 @@
 fn a_restart_ends_a_wait() {
     let mut story = kept();
     story.taken(400 * MS, 9, RATE_PUSH).delivered(500 * MS, 90, 9);
-    story.life(300 * MS, Life::Killed).life(301 * MS, Life::Exited { asked: true });
-    story.life(310 * MS, Life::Started).life(450 * MS, Life::Ready);
+    story.life(300 * MS, ProcessEvent::Killed).life(301 * MS, ProcessEvent::Exited { expected: true });
+    story.life(310 * MS, ProcessEvent::Started).life(450 * MS, ProcessEvent::Ready);
     assert_eq!(story.broken(), BTreeSet::new());
 }
 
 /// An outage of destination 0, and calls at endpoint 0 just before it falls over.
 fn fallen(s: &mut Story, failing: bool) {
-    s.at(8 * SECOND, What::Trouble { dest: 0, kind: Kind::Down, begins: true });
-    s.at(9 * SECOND, What::Trouble { dest: 0, kind: Kind::Down, begins: false });
+    s.at(8 * SECOND, FactKind::DestinationFault { dest: 0, kind: EventKind::Down, begins: true });
+    s.at(9 * SECOND, FactKind::DestinationFault { dest: 0, kind: EventKind::Down, begins: false });
     // Message 5 is held for the destination since before; without it nobody has seen the outage.
     if !failing {
-        without(s, |w| matches!(w, What::Heard { message: 5, .. } | What::Notice { message: 5, .. }));
+        without(s, |w| {
+            matches!(w, FactKind::HandInEnded { message: 5, .. } | FactKind::Notice { message: 5, .. })
+        });
     }
     s.taken(9_100 * MS, 9, RATE_PUSH);
     for call in 0..5 {
@@ -253,7 +261,11 @@
             Reply::Broken,
         );
     }
-    s.at(10 * SECOND, What::Fell { endpoint: ENDPOINT }).notice(10 * SECOND, 9, Notice::GivenUp);
+    s.at(10 * SECOND, FactKind::OverloadFailure { endpoint: ENDPOINT }).notice(
+        10 * SECOND,
+        9,
+        Notice::GivenUp,
+    );
 }
 
 #[test]
@@ -281,7 +293,7 @@
         s.called(3_300 * MS, 90, 77, ENDPOINT).replied(3_310 * MS, 90, Reply::Error);
     });
     only(Rule::Stray, |s| {
-        s.at(SECOND, What::Nameless { sender: SENDER, endpoint: ENDPOINT });
+        s.at(SECOND, FactKind::CallWithoutId { sender: SENDER, endpoint: ENDPOINT });
     });
 }
 
@@ -290,7 +302,7 @@
     only(Rule::Stray, |s| {
         s.at(
             3_300 * MS,
-            What::Called {
+            FactKind::CallReceived {
                 call: 90,
                 message: 3,
                 sender: SENDER,
@@ -312,7 +324,10 @@
     for (answered, taken) in [(None, false), (Some(3_100 * MS), false), (None, true)] {
         only(Rule::Stranger, |s| {
             let form = "half a head".to_string();
-            s.at(4 * SECOND, What::Stranger { sender: SENDER, form, within: 3 * SECOND, answered, taken });
+            s.at(
+                4 * SECOND,
+                FactKind::Stranger { sender: SENDER, form, within: 3 * SECOND, answered, taken },
+            );
         });
     }
 }
@@ -320,10 +335,10 @@
 #[test]
 fn crash_where_a_sender_ends_unasked_or_is_never_ready() {
     only(Rule::Crash, |s| {
-        s.life(28 * SECOND, Life::Exited { asked: false });
+        s.life(28 * SECOND, ProcessEvent::Exited { expected: false });
     });
     only(Rule::Crash, |s| {
-        s.life(28 * SECOND, Life::Killed).life(28_001 * MS, Life::Exited { asked: true });
-        s.life(28_500 * MS, Life::Started).life(58_500 * MS, Life::Late);
+        s.life(28 * SECOND, ProcessEvent::Killed).life(28_001 * MS, ProcessEvent::Exited { expected: true });
+        s.life(28_500 * MS, ProcessEvent::Started).life(58_500 * MS, ProcessEvent::NotReady);
     });
 }
--- a/crates/testbed/tests/play.rs
+++ b/crates/testbed/tests/play.rs
@@ -2,13 +2,13 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::sync::Arc;
+use testbed::facts::{FactKind, ProcessEvent};
 use testbed::judge::Rule;
-use testbed::ledger::{Life, What};
 use testbed::plan::Plan;
 use testbed::play::{play, Played, Progress};
 use testbed::program;
 use testbed::seed::Seed;
-use testbed::spec::{Kind, Spec};
+use testbed::spec::{EventKind, Spec};
 use tokio::sync::watch;
 
 fn played_by(program: &Path, text: &str, seed: u64) -> Played {
@@ -26,7 +26,7 @@
 }
 
 fn broken(played: &Played) -> BTreeSet<Rule> {
-    played.verdict.breaks.iter().map(|b| b.rule).collect()
+    played.verdict.violations.iter().map(|b| b.rule).collect()
 }
 
 /// Kills with calls out, a restart, a pause, an outage, a replaced endpoint, discovery gone, crowded, reset and moved, strangers: the
@@ -52,17 +52,17 @@
         }
     }
     let verdict = &played.verdict;
-    assert_eq!(broken(&played), BTreeSet::new(), "{:#?}", verdict.breaks);
+    assert_eq!(broken(&played), BTreeSet::new(), "{:#?}", verdict.violations);
     assert_eq!((verdict.counts.lost, verdict.counts.repeated), (0, 0));
     assert!(verdict.counts.in_time * 2 > verdict.counts.asked, "{:?}", verdict.counts);
-    let count = |is: &dyn Fn(&What) -> bool| played.facts.iter().filter(|f| is(&f.what)).count();
-    let lives = |l: Life| count(&|w| matches!(w, What::Process { life, .. } if *life == l));
-    assert_eq!(lives(Life::Ready), 5, "three at the beginning, and two again");
-    assert_eq!(lives(Life::Exited { asked: false }), 0);
-    assert_eq!((lives(Life::Paused), lives(Life::Continued)), (1, 1));
-    assert_eq!(count(&|w| matches!(w, What::Trouble { kind: Kind::Down, .. })), 2);
-    assert!(count(&|w| matches!(w, What::Told { .. })) > 0, "replaced endpoints are told");
-    assert!(count(&|w| matches!(w, What::Stranger { .. })) > 20);
+    let count = |is: &dyn Fn(&FactKind) -> bool| played.facts.iter().filter(|f| is(&f.kind)).count();
+    let lives = |l: ProcessEvent| count(&|w| matches!(w, FactKind::Process { event, .. } if *event == l));
+    assert_eq!(lives(ProcessEvent::Ready), 5, "three at the beginning, and two again");
+    assert_eq!(lives(ProcessEvent::Exited { expected: false }), 0);
+    assert_eq!((lives(ProcessEvent::Paused), lives(ProcessEvent::Continued)), (1, 1));
+    assert_eq!(count(&|w| matches!(w, FactKind::DestinationFault { kind: EventKind::Down, .. })), 2);
+    assert!(count(&|w| matches!(w, FactKind::ChangeSent { .. })) > 0, "replaced endpoints are told");
+    assert!(count(&|w| matches!(w, FactKind::Stranger { .. })) > 20);
 }
 
 #[test]
@@ -87,10 +87,10 @@
         [[event]]\nwhat = 'kill'\nat = 1\nfor = 0.5\nwhich = [1]\n\
         [[event]]\nwhat = 'kill'\nat = 1.2\nfor = 0.9\nwhich = [1]\n";
     let played = played_by(&sender(), text, 7);
-    assert_eq!(broken(&played), BTreeSet::new(), "{:#?}", played.verdict.breaks);
+    assert_eq!(broken(&played), BTreeSet::new(), "{:#?}", played.verdict.violations);
     let started = |of: u32| {
-        let is = |w: &What| matches!(w, What::Process { sender, life: Life::Started } if *sender == of);
-        played.facts.iter().filter(|f| is(&f.what)).count()
+        let is = |w: &FactKind| matches!(w, FactKind::Process { sender, event: ProcessEvent::Started } if *sender == of);
+        played.facts.iter().filter(|f| is(&f.kind)).count()
     };
     assert_eq!((started(0), started(1)), (2, 2));
 }
@@ -104,12 +104,15 @@
         [[event]]\nwhat = 'kill'\nat = 3\nfor = 0.3\nwhich = [1]\nfolder = 'another'\n"
     );
     let played = played_by(&sender(), &text, 3);
-    assert_eq!(broken(&played), BTreeSet::new(), "{:#?}", played.verdict.breaks);
-    let lives = |of: Life| {
-        let is = |w: &What| matches!(w, What::Process { life, .. } if *life == of);
-        played.facts.iter().filter(|f| is(&f.what)).count()
+    assert_eq!(broken(&played), BTreeSet::new(), "{:#?}", played.verdict.violations);
+    let lives = |of: ProcessEvent| {
+        let is = |w: &FactKind| matches!(w, FactKind::Process { event, .. } if *event == of);
+        played.facts.iter().filter(|f| is(&f.kind)).count()
     };
-    assert_eq!((lives(Life::Refused), lives(Life::Emptied), lives(Life::Ready)), (1, 1, 9));
+    assert_eq!(
+        (lives(ProcessEvent::RefusedFolder), lives(ProcessEvent::Emptied), lives(ProcessEvent::Ready)),
+        (1, 1, 9)
+    );
 }
 
 #[test]
--- a/crates/testbed/tests/sim.rs
+++ b/crates/testbed/tests/sim.rs
@@ -1,7 +1,7 @@
 //! Simulated time: the module alone, at the size of a fleet.
 use std::collections::HashMap;
 use std::path::Path;
-use testbed::ledger::{Life, What};
+use testbed::facts::{FactKind, ProcessEvent};
 use testbed::plan::Plan;
 use testbed::seed::Seed;
 use testbed::sim::{simulate, Simulated};
@@ -39,13 +39,13 @@
 fn the_module_keeps_the_rules_through_faults_at_any_seed() {
     for seed in 1..=8 {
         let Simulated { verdict, facts } = simulated(FAULTS, seed);
-        assert!(verdict.breaks.is_empty(), "seed {seed}: {:#?}", verdict.breaks);
+        assert!(verdict.violations.is_empty(), "seed {seed}: {:#?}", verdict.violations);
         let c = &verdict.counts;
         assert!(c.in_time * 2 > c.asked && c.asked > 5_000, "seed {seed}: {c:?}");
-        let lives = |l: Life| {
-            facts.iter().filter(|f| matches!(f.what, What::Process { life, .. } if life == l)).count()
+        let lives = |l: ProcessEvent| {
+            facts.iter().filter(|f| matches!(f.kind, FactKind::Process { event, .. } if event == l)).count()
         };
-        assert_eq!((lives(Life::Killed), lives(Life::Ready)), (20, 68), "seed {seed}");
+        assert_eq!((lives(ProcessEvent::Killed), lives(ProcessEvent::Ready)), (20, 68), "seed {seed}");
     }
 }
 
@@ -58,9 +58,9 @@
         let mut last = HashMap::new();
         let mut order = Vec::new();
         for fact in simulated(text, seed).facts {
-            match fact.what {
-                What::Changed { endpoint, lifecycle } => order.push((endpoint, lifecycle)),
-                What::Told { sender, endpoint, lifecycle } => {
+            match fact.kind {
+                FactKind::EndpointChanged { endpoint, lifecycle } => order.push((endpoint, lifecycle)),
+                FactKind::ChangeSent { sender, endpoint, lifecycle } => {
                     let place =
                         order.iter().position(|c| *c == (endpoint, lifecycle)).expect("it has changed");
                     let before = last.insert((sender, endpoint), place);
--- a/crates/testbed/tests/stands.rs
+++ b/crates/testbed/tests/stub_servers.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 use testbed::clients;
 use testbed::clock::{Clock, Ns};
-use testbed::endpoints::{Endpoints, Ground};
-use testbed::judge::{breaks, Rule};
-use testbed::lateness::Lateness;
-use testbed::ledger::{Heard, Ledger, What};
+use testbed::endpoints::{Endpoints, StubContext};
+use testbed::facts::{FactKind, FactLog, HandInResult};
+use testbed::judge::{violations, Rule};
 use testbed::links::Links;
-use testbed::messages::Messages;
+use testbed::messages::MessageRegistry;
 use testbed::plan::Plan;
+use testbed::scheduling_lag::SchedulingLag;
 use testbed::seed::Seed;
-use testbed::spec::{Kind, Spec};
+use testbed::spec::{EventKind, Spec};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -21,15 +21,15 @@
 
 const BOUND: Duration = Duration::from_secs(20);
 
-fn ground() -> (Ground, mpsc::UnboundedReceiver<String>) {
+fn ground() -> (StubContext, mpsc::UnboundedReceiver<String>) {
     let clock = Clock::new(Instant::now());
     let (void, voids) = mpsc::unbounded_channel();
-    let ledger = Arc::new(Ledger::new(clock));
-    let ground = Ground {
+    let fact_log = Arc::new(FactLog::new(clock));
+    let ground = StubContext {
         clock,
-        ledger,
-        lateness: Arc::new(Lateness::default()),
-        messages: Arc::new(Messages::default()),
+        fact_log,
+        lag: Arc::new(SchedulingLag::default()),
+        messages: Arc::new(MessageRegistry::default()),
         void,
     };
     (ground, voids)
@@ -50,13 +50,13 @@
     let dest = plan.endpoints[0].dest;
     let at = endpoints.address(0, 0);
     TcpStream::connect(at).await.expect("it listens");
-    endpoints.begin(dest, Kind::Down, 1.0, Ns::MAX);
+    endpoints.begin(dest, EventKind::Down, 1.0, Ns::MAX);
     let until = Instant::now() + BOUND;
     while TcpStream::connect(at).await.is_ok() {
         assert!(Instant::now() < until, "a dead endpoint takes connections");
     }
     let squatter = TcpListener::bind(at).await.expect("its port is free");
-    endpoints.end(dest, Kind::Down);
+    endpoints.end(dest, EventKind::Down);
     let why = timeout(BOUND, voids.recv()).await.expect("it is told").unwrap();
     assert!(why.contains(&at.to_string()), "{why}");
     drop(squatter);
@@ -88,25 +88,30 @@
     // Nobody delivers, so their patience with what was taken on is not waited for.
     let _ = timeout(Duration::from_secs(5), clients::run(&plan, &doors, &ground, 0)).await;
     tasks.iter().for_each(|t| t.abort());
-    let facts = ground.ledger.take();
-    let mut heard: HashMap<u64, Vec<Heard>> = HashMap::new();
+    let facts = ground.fact_log.take();
+    let mut heard: HashMap<u64, Vec<HandInResult>> = HashMap::new();
     let mut by_request: HashMap<u32, Vec<u64>> = HashMap::new();
     for fact in &facts {
-        match fact.what {
-            What::HandedIn { message, request, .. } => by_request.entry(request).or_default().push(message),
-            What::Heard { message, heard: h } => heard.entry(message).or_default().push(h),
+        match fact.kind {
+            FactKind::HandedIn { message, request, .. } => {
+                by_request.entry(request).or_default().push(message)
+            }
+            FactKind::HandInEnded { message, result } => heard.entry(message).or_default().push(result),
             _ => {}
         }
     }
     assert!(heard.values().all(|h| h.len() == 1), "a client hears once");
-    let count = |h: Heard| heard.values().filter(|all| all[0] == h).count();
-    assert!(count(Heard::Taken) > 0 && count(Heard::Silence) > 0, "both sides of the edge are met");
+    let count = |h: HandInResult| heard.values().filter(|all| all[0] == h).count();
+    assert!(
+        count(HandInResult::Accepted) > 0 && count(HandInResult::TimedOut) > 0,
+        "both sides of the edge are met"
+    );
     for messages in by_request.values() {
         let taken: Vec<bool> =
-            messages.iter().filter_map(|m| heard.get(m)).map(|h| h[0] == Heard::Taken).collect();
+            messages.iter().filter_map(|m| heard.get(m)).map(|h| h[0] == HandInResult::Accepted).collect();
         assert!(!taken.iter().rev().skip(1).any(|t| *t), "a message that was taken on came again");
     }
     // Only what a client heard is owed: the judge names those, and no other.
-    let lost = breaks(&plan.terms, &facts).into_iter().filter(|b| b.rule == Rule::Lost).count();
-    assert_eq!(lost, count(Heard::Taken));
+    let lost = violations(&plan.terms, &facts).into_iter().filter(|b| b.rule == Rule::Lost).count();
+    assert_eq!(lost, count(HandInResult::Accepted));
 }
