--- a/crates/testbed/src/client_retry.rs
+++ b/crates/testbed/src/client_retry.rs
@@ -1,4 +1,5 @@
-//! What a client does with an answer, or with none: PROTOCOL and the brief, 8. Used on sockets and in simulated time.
+//! What a client does with an answer, or with none: PROTOCOL and the brief, 8. Used on sockets and in
+//! simulated time.
 use crate::clock::{Ns, MS, SECOND};
 use crate::spec::Clients;
 use rand::{Rng, RngExt};
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -98,7 +98,8 @@
         self.shared.form(sender, &self.shared.list.lock().expect("no holder panics").since(None))
     }
 
-    /// An endpoint changes; discovery tells so late as the experiment has it, and nothing before what came earlier.
+    /// An endpoint changes; discovery tells so late as the experiment has it, and nothing before what came
+    /// earlier.
     pub fn change(&self, endpoint: u32, lifecycle: Lifecycle) {
         self.shared.ground.fact_log.record(FactKind::EndpointChanged { endpoint, lifecycle });
         let [low, high] = self.shared.plan.spec.platform.notice_s;
@@ -111,7 +112,7 @@
     pub fn trouble(&self, kind: EventKind, size: f64, begins: bool) {
         if kind == EventKind::DiscoveryResets {
             let mut list = self.shared.list.lock().expect("no holder panics");
-            list.forget();
+            list.forget_history();
             self.shared.news.send_replace(list.generation());
             return;
         }
--- a/crates/testbed/src/endpoints.rs
+++ b/crates/testbed/src/endpoints.rs
@@ -1,5 +1,5 @@
-//! Endpoints on sockets: a listener for each sender and endpoint, so that the address tells who calls. What becomes
-//! of a call is decided by `platform::destination`; here it is carried out.
+//! Endpoints on sockets: a listener for each sender and endpoint, so that the address tells who calls. What
+//! becomes of a call is decided by `platform::destination`; here it is carried out.
 use crate::addresses::{self, Door};
 use crate::clock::{Clock, Ns, MS};
 use crate::facts::{FactKind, FactLog, Reply};
@@ -96,7 +96,8 @@
 }
 
 impl Endpoints {
-    /// Listens at an address of its own for each endpoint and sender. Those not listed yet refuse connections.
+    /// Listens at an address of its own for each endpoint and sender. Those not listed yet refuse
+    /// connections.
     pub fn start(plan: &Plan, links: &Links, ground: &StubContext) -> io::Result<Endpoints> {
         let calls = Arc::new(AtomicU64::new(1));
         let out: Vec<Arc<AtomicUsize>> = plan.senders.iter().map(|_| Arc::default()).collect();
@@ -152,7 +153,7 @@
     pub fn begin(&self, dest: u32, kind: EventKind, size: f64, until: Ns) {
         let dest = &self.dests[dest as usize];
         dest.note(&self.ground, kind, true);
-        dest.with(&self.ground, |core, now| core.begin(now, kind, size, until));
+        dest.with(&self.ground, |core, now| core.begin_fault(now, kind, size, until));
         dest.show();
     }
 
@@ -160,7 +161,7 @@
         let dest = &self.dests[dest as usize];
         dest.note(&self.ground, kind, false);
         dest.with(&self.ground, |core, now| {
-            core.end(now, kind);
+            core.end_fault(now, kind);
             Vec::new()
         });
         dest.show();
@@ -173,7 +174,7 @@
         match lifecycle {
             Lifecycle::Ready => {
                 dest.with(&self.ground, |core, now| {
-                    core.fresh(now, place);
+                    core.start_cold(now, place);
                     Vec::new()
                 });
             }
@@ -204,8 +205,8 @@
                     ground.fact_log.record(FactKind::Effect { call });
                     continue;
                 }
-                Output::OverloadFailure { place } => {
-                    ground.fact_log.record(FactKind::OverloadFailure { endpoint: self.endpoints[place] });
+                Output::OverloadFailure { index } => {
+                    ground.fact_log.record(FactKind::OverloadFailure { endpoint: self.endpoints[index] });
                     fell = true;
                     continue;
                 }
@@ -396,7 +397,7 @@
         // Also where the task is dropped at a phase's end: the core has then ended the call by itself.
         let _waiting = Waiting { dest: &self.dest, number };
         let place = self.place;
-        self.dest.with(&self.ground, |core, now| core.arrive(now, Call { number, place, work }));
+        self.dest.with(&self.ground, |core, now| core.arrive(now, Call { number, index: place, work }));
         let mut until = None;
         loop {
             tokio::select! {
@@ -411,7 +412,7 @@
                     self.dest.with(&self.ground, |core, now| core.finish(now, place, number));
                 }
                 () = link.closed() => {
-                    self.dest.with(&self.ground, |core, now| core.gone(now, place, number));
+                    self.dest.with(&self.ground, |core, now| core.abandon(now, place, number));
                     return None;
                 }
             }
@@ -495,7 +496,8 @@
     }
 }
 
-/// Ends once a connection of this phase has to be reset. While the endpoint is silent nothing else happens on it.
+/// Ends once a connection of this phase has to be reset. While the endpoint is silent nothing else happens on
+/// it.
 async fn over(phase: &mut watch::Receiver<Phase>) {
     // A connection that was taken just as the endpoint fell silent is as silent as the others.
     let mut now = *phase.borrow_and_update();
--- a/crates/testbed/src/facts.rs
+++ b/crates/testbed/src/facts.rs
@@ -1,5 +1,5 @@
-//! What the stub servers and the testbed observed during a play, as facts in the order of one clock. The judge
-//! reads nothing else. `facts.jsonl` holds one fact per line.
+//! What the stub servers and the testbed observed during a play, as facts in the order of one clock. The
+//! judge reads nothing else. `facts.jsonl` holds one fact per line.
 use crate::clock::{Clock, Ns};
 use crate::platform::destination::{CallNumber, Refusal};
 use crate::platform::list::Lifecycle;
@@ -103,7 +103,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "fact")]
 pub enum FactKind {
-    /// A client wants a message delivered, as planned for `planned`. It may hand the message in several times.
+    /// A client wants a message delivered, as planned for `planned`. It may hand the message in several
+    /// times.
     #[serde(rename = "asked")]
     Requested { request: u32, sender: u32, dest: u32, class: usize, planned: Ns },
     /// A client begins to write a message to a sender; it may be delivered until `due`.
@@ -115,7 +116,8 @@
         #[serde(rename = "heard")]
         result: HandInResult,
     },
-    /// The last byte of a call was received, and the first one at `first`; `intact` if its body is the client's.
+    /// The last byte of a call was received, and the first one at `first`; `intact` if its body is the
+    /// client's.
     #[serde(rename = "called")]
     CallReceived { call: CallNumber, message: MessageId, sender: u32, endpoint: u32, first: Ns, intact: bool },
     /// A call had no message id in the protocol's form.
@@ -123,7 +125,8 @@
     CallWithoutId { sender: u32, endpoint: u32 },
     /// A call took effect.
     Effect { call: CallNumber },
-    /// An endpoint is about to write an answer. If the write fails, a second reply to the same call replaces it.
+    /// An endpoint is about to write an answer. If the write fails, a second reply to the same call replaces
+    /// it.
     Replied { call: CallNumber, reply: Reply },
     /// The sender closed a call's connection before the answer.
     #[serde(rename = "left")]
@@ -158,8 +161,9 @@
     /// A cold endpoint failed for good under too many calls.
     #[serde(rename = "fell")]
     OverloadFailure { endpoint: u32 },
-    /// A peer that sent no valid request has finished. `answered` is how long it took the sender to answer with 4xx or
-    /// 5xx or to close the connection, if it did either; `taken` if it accepted the request instead.
+    /// A peer that sent no valid request has finished. `answered` is how long it took the sender to answer
+    /// with 4xx or 5xx or to close the connection, if it did either; `taken` if it accepted the request
+    /// instead.
     Stranger { sender: u32, form: String, within: Ns, answered: Option<Ns>, taken: bool },
 }
 
@@ -188,7 +192,8 @@
         FactLog { clock, facts: Mutex::default() }
     }
 
-    /// Records a fact with the current time and returns that time. Facts are kept in the order of their times.
+    /// Records a fact with the current time and returns that time. Facts are kept in the order of their
+    /// times.
     pub fn record(&self, kind: FactKind) -> Ns {
         let mut facts = self.facts.lock().expect("no holder panics");
         let at = self.clock.now();
--- a/crates/testbed/src/judge/fact_index.rs
+++ b/crates/testbed/src/judge/fact_index.rs
@@ -1,4 +1,4 @@
-//! The facts of a play, sorted by what they are about. Nothing is judged here.
+//! The facts of a play, indexed by what they are about. The rules read the index.
 use crate::clock::{Ns, MS, SECOND};
 use crate::facts::{Fact, FactKind, HandInResult, MessageId, Notice, ProcessEvent, Reply};
 use crate::plan::Terms;
@@ -7,55 +7,66 @@
 use crate::spec::{EventKind, Link};
 use std::collections::{BTreeMap, HashMap};
 
-/// How long after a link has healed something may still come that was held up on it.
-const HELD_UP: Ns = 1_500 * MS;
-/// After a restart no notice is overdue until so long after readiness (PROTOCOL, The rules on sockets).
-const RESTART: Ns = 1_500 * MS;
-/// What discovery has to tell counts as told after so long, and to a new process so long after its readiness.
-const TOLD: Ns = 6 * SECOND;
-const TOLD_NEW: Ns = 2 * SECOND;
+/// How long after the end of a link's fault data that was delayed on it may still arrive.
+const LINK_BACKLOG: Ns = 1_500 * MS;
+/// After a restart no notice is overdue until this time after readiness (PROTOCOL, The rules on sockets).
+const RESTART_GRACE: Ns = 1_500 * MS;
+/// A change of the list counts as known to a sender after this time, whether discovery has sent it or not.
+const KNOWN_AFTER_CHANGE: Ns = 6 * SECOND;
+/// The same for a new process, from its readiness.
+const KNOWN_AFTER_READY: Ns = 2 * SECOND;
 
+/// A message as handed in once, under one id.
 #[derive(Debug)]
 pub struct Message {
     pub id: MessageId,
     pub request: u32,
     pub sender: u32,
     pub due: Ns,
-    pub handed: Ns,
-    pub heard: Option<(Ns, HandInResult)>,
+    pub handed_in_at: Ns,
+    pub result: Option<(Ns, HandInResult)>,
     pub notices: Vec<(Ns, Notice)>,
-    /// Places in `Case::calls`.
+    /// Indices into `FactIndex::calls`.
     pub calls: Vec<usize>,
 }
 
 impl Message {
-    pub fn taken(&self) -> Option<Ns> {
-        self.heard.filter(|(_, h)| *h == HandInResult::Accepted).map(|(at, _)| at)
+    /// Returns when its client learned that the message was accepted.
+    pub fn accepted_at(&self) -> Option<Ns> {
+        self.result.filter(|(_, h)| *h == HandInResult::Accepted).map(|(at, _)| at)
     }
 }
 
+/// A call that an endpoint received.
 #[derive(Debug)]
 pub struct Call {
     pub number: CallNumber,
     pub message: MessageId,
     pub sender: u32,
     pub endpoint: u32,
+    /// When its first byte was received.
     pub first: Ns,
+    /// When its last byte was received.
     pub last: Ns,
+    /// Its body is that of the client.
     pub intact: bool,
+    /// When it took effect.
     pub effects: Vec<Ns>,
     pub reply: Option<(Ns, Reply)>,
 }
 
+/// A request of a client to have a message delivered.
 #[derive(Debug)]
 pub struct Request {
     pub at: Ns,
     pub sender: u32,
     pub dest: u32,
     pub class: usize,
+    /// The ids under which it was handed in, in order.
     pub messages: Vec<MessageId>,
 }
 
+/// A peer that sent no valid request.
 #[derive(Debug)]
 pub struct Stranger<'a> {
     pub at: Ns,
@@ -66,56 +77,63 @@
     pub taken: bool,
 }
 
+/// The facts of a play, indexed.
 pub struct FactIndex<'a> {
     pub terms: &'a Terms,
-    /// When the last fact was noted.
+    /// Time of the last fact.
     pub end: Ns,
     pub requests: BTreeMap<u32, Request>,
     pub messages: BTreeMap<MessageId, Message>,
     pub calls: Vec<Call>,
-    pub nameless: Vec<(Ns, u32, u32)>,
+    /// Time, sender and endpoint of calls without a message id.
+    pub calls_without_id: Vec<(Ns, u32, u32)>,
     pub strangers: Vec<Stranger<'a>>,
     pub probes: usize,
     pub connections: usize,
-    /// By sender, in order.
-    pub lives: Vec<Vec<(Ns, ProcessEvent)>>,
-    /// By link and sender: when something was wrong with it.
-    links: HashMap<(Link, u32), Vec<(Ns, Ns)>>,
-    /// By destination: troubles that make its return cold, with their ends.
+    /// By sender: the events of its processes, in order.
+    pub processes: Vec<Vec<(Ns, ProcessEvent)>>,
+    /// By link and sender: beginnings and ends of faults.
+    link_faults: HashMap<(Link, u32), Vec<(Ns, Ns)>>,
+    /// By destination: beginnings and ends of the faults after which its endpoints are cold.
     pub outages: HashMap<u32, Vec<(Ns, Ns)>>,
-    pub falls: Vec<(Ns, u32)>,
+    /// Time and endpoint of each failure of a cold endpoint under too many calls.
+    pub overload_failures: Vec<(Ns, u32)>,
+    /// Changes of the list, in order.
     changes: Vec<(Ns, u32, Lifecycle)>,
-    told: HashMap<(u32, u32), Vec<(Ns, Lifecycle)>>,
+    /// By sender and endpoint: the changes that discovery has sent.
+    sent_changes: HashMap<(u32, u32), Vec<(Ns, Lifecycle)>>,
 }
 
 impl<'a> FactIndex<'a> {
+    /// Indexes the facts of a play.
     pub fn new(terms: &'a Terms, facts: &'a [Fact]) -> FactIndex<'a> {
-        let mut case = FactIndex {
+        let mut index = FactIndex {
             terms,
             end: facts.last().map_or(0, |f| f.at),
             requests: BTreeMap::new(),
             messages: BTreeMap::new(),
             calls: Vec::new(),
-            nameless: Vec::new(),
+            calls_without_id: Vec::new(),
             strangers: Vec::new(),
             probes: 0,
             connections: 0,
-            lives: vec![Vec::new(); terms.senders],
-            links: HashMap::new(),
+            processes: vec![Vec::new(); terms.senders],
+            link_faults: HashMap::new(),
             outages: HashMap::new(),
-            falls: Vec::new(),
+            overload_failures: Vec::new(),
             changes: Vec::new(),
-            told: HashMap::new(),
+            sent_changes: HashMap::new(),
         };
-        let mut places = HashMap::new();
+        let mut positions = HashMap::new();
         for fact in facts {
-            case.add(fact.at, &fact.kind, &mut places);
+            index.add(fact.at, &fact.kind, &mut positions);
         }
-        case
+        index
     }
 
-    fn add(&mut self, at: Ns, what: &'a FactKind, places: &mut HashMap<CallNumber, usize>) {
-        match *what {
+    /// Adds one fact. `positions` holds the index of each call in `calls`.
+    fn add(&mut self, at: Ns, kind: &'a FactKind, positions: &mut HashMap<CallNumber, usize>) {
+        match *kind {
             FactKind::Requested { request, sender, dest, class, planned } => {
                 let new = Request { at: planned, sender, dest, class, messages: Vec::new() };
                 self.requests.insert(request, new);
@@ -124,26 +142,26 @@
                 if let Some(asked) = self.requests.get_mut(&request) {
                     asked.messages.push(id);
                 }
-                let (heard, notices, calls) = (None, Vec::new(), Vec::new());
-                // A client that sends a message once more on a new connection hands it in once.
+                let (result, notices, calls) = (None, Vec::new(), Vec::new());
+                // A client that sends the message again on a new connection hands it in only once.
                 self.messages.entry(id).or_insert(Message {
                     id,
                     request,
                     sender,
                     due,
-                    handed: at,
-                    heard,
+                    handed_in_at: at,
+                    result,
                     notices,
                     calls,
                 });
             }
             FactKind::HandInEnded { message, result } => {
                 if let Some(m) = self.messages.get_mut(&message) {
-                    m.heard = Some((at, result));
+                    m.result = Some((at, result));
                 }
             }
             FactKind::CallReceived { call: number, message, sender, endpoint, first, intact } => {
-                places.insert(number, self.calls.len());
+                positions.insert(number, self.calls.len());
                 if let Some(m) = self.messages.get_mut(&message) {
                     m.calls.push(self.calls.len());
                 }
@@ -153,19 +171,21 @@
                 self.calls.push(call);
             }
             FactKind::Effect { call } => {
-                if let Some(place) = places.get(&call) {
-                    self.calls[*place].effects.push(at);
+                if let Some(position) = positions.get(&call) {
+                    self.calls[*position].effects.push(at);
                 }
             }
             FactKind::Replied { call, reply } => {
-                if let Some(place) = places.get(&call) {
-                    self.calls[*place].reply = Some((at, reply));
+                if let Some(position) = positions.get(&call) {
+                    self.calls[*position].reply = Some((at, reply));
                 }
             }
-            // A call that the sender left may have run, as one without a reply.
-            // The senders are told what discovery tells, whatever its troubles.
+            // An abandoned call may have run, as any call without a reply. Faults of discovery excuse
+            // nothing: `ChangeSent` records what the senders have been sent.
             FactKind::CallAbandoned { .. } | FactKind::DiscoveryFault { .. } => {}
-            FactKind::CallWithoutId { sender, endpoint } => self.nameless.push((at, sender, endpoint)),
+            FactKind::CallWithoutId { sender, endpoint } => {
+                self.calls_without_id.push((at, sender, endpoint))
+            }
             FactKind::Probed { .. } => self.probes += 1,
             FactKind::Connected { .. } => self.connections += 1,
             FactKind::Notice { message, notice, .. } => {
@@ -175,10 +195,10 @@
             }
             FactKind::EndpointChanged { endpoint, lifecycle } => self.changes.push((at, endpoint, lifecycle)),
             FactKind::ChangeSent { sender, endpoint, lifecycle } => {
-                self.told.entry((sender, endpoint)).or_default().push((at, lifecycle));
+                self.sent_changes.entry((sender, endpoint)).or_default().push((at, lifecycle));
             }
             FactKind::Process { sender, event } => {
-                if let Some(lives) = self.lives.get_mut(sender as usize) {
+                if let Some(lives) = self.processes.get_mut(sender as usize) {
                     lives.push((at, event));
                 }
             }
@@ -193,94 +213,101 @@
                 }
             }
             FactKind::LinkFault { sender, link, begins, .. } => {
-                let spans = self.links.entry((link, sender)).or_default();
+                let spans = self.link_faults.entry((link, sender)).or_default();
                 match (begins, spans.last_mut()) {
                     (false, Some(last)) => last.1 = at,
                     _ => spans.push((at, Ns::MAX)),
                 }
             }
-            FactKind::OverloadFailure { endpoint } => self.falls.push((at, endpoint)),
+            FactKind::OverloadFailure { endpoint } => self.overload_failures.push((at, endpoint)),
             FactKind::Stranger { sender, ref form, within, answered, taken } => {
                 self.strangers.push(Stranger { at, sender, form, within, answered, taken });
             }
         }
     }
 
+    /// Returns the class of a message.
     pub fn class_of(&self, message: &Message) -> Option<usize> {
         self.requests.get(&message.request).map(|r| r.class)
     }
 
-    /// When a message was over: delivered, ended by a notice, or called over by an endpoint.
-    pub fn ended(&self, message: &Message) -> Option<Ns> {
-        let over = |reply: Reply| matches!(reply, Reply::Refused { why: Refusal::Expired, .. });
-        let called_over = message.calls.iter().filter_map(|c| self.calls[*c].reply).filter(|r| over(r.1));
+    /// Returns when a message ended: delivered, ended by a notice, or refused as expired by an endpoint.
+    pub fn ended_at(&self, message: &Message) -> Option<Ns> {
+        let is_expired = |reply: Reply| matches!(reply, Reply::Refused { why: Refusal::Expired, .. });
+        let expired = message.calls.iter().filter_map(|c| self.calls[*c].reply).filter(|r| is_expired(r.1));
         let notices = message.notices.iter().map(|(at, _)| *at);
-        self.delivered(message).into_iter().chain(notices).chain(called_over.map(|r| r.0)).min()
+        self.delivered_at(message).into_iter().chain(notices).chain(expired.map(|r| r.0)).min()
     }
 
-    /// When a first line with 200 was written for it.
-    pub fn delivered(&self, message: &Message) -> Option<Ns> {
+    /// Returns when an endpoint first answered it with 200.
+    pub fn delivered_at(&self, message: &Message) -> Option<Ns> {
         let replies = message.calls.iter().filter_map(|c| self.calls[*c].reply);
         replies.filter(|(_, r)| *r == Reply::Delivered).map(|(at, _)| at).min()
     }
 
-    /// Whether notices of a sender may be late at a time: from a restart's signal until 1.5 s after readiness. A
-    /// sender that is held by the schedule, or cut off from where notices go, can't send any either.
-    pub fn excused(&self, sender: u32, at: Ns) -> bool {
-        if self.hurt(Link::Discovery, sender, at, at) {
+    /// Returns true if notices of a sender may be late at a time: from the signal of a restart until
+    /// `RESTART_GRACE` after readiness, and the same while it is paused or its link to discovery is
+    /// disturbed.
+    pub fn notices_excused(&self, sender: u32, at: Ns) -> bool {
+        if self.link_disturbed(Link::Discovery, sender, at, at) {
             return true;
         }
-        let mut down = false;
-        for (when, life) in &self.lives[sender as usize] {
-            let excuse_until = match life {
+        let mut interrupted = false;
+        for (when, event) in &self.processes[sender as usize] {
+            let excused_until = match event {
                 ProcessEvent::Terminated | ProcessEvent::Killed | ProcessEvent::Paused => {
-                    down = *when <= at;
+                    interrupted = *when <= at;
                     continue;
                 }
-                ProcessEvent::Ready | ProcessEvent::Continued => when + RESTART,
+                ProcessEvent::Ready | ProcessEvent::Continued => when + RESTART_GRACE,
                 _ => continue,
             };
-            if down && at <= excuse_until {
+            if interrupted && at <= excused_until {
                 return true;
             }
-            down = false;
+            interrupted = false;
         }
-        down
+        interrupted
     }
 
-    /// Something was wrong with a link within a span, or shortly before it: what was held up on it comes late.
-    pub fn hurt(&self, link: Link, sender: u32, from: Ns, to: Ns) -> bool {
-        let spans = self.links.get(&(link, sender)).into_iter().flatten();
-        spans.clone().any(|(begins, ends)| *begins <= to && from <= ends.saturating_add(HELD_UP))
+    /// Returns true if a link had a fault within a span or shortly before it, so that data on it may have
+    /// been delayed.
+    pub fn link_disturbed(&self, link: Link, sender: u32, from: Ns, to: Ns) -> bool {
+        let spans = self.link_faults.get(&(link, sender)).into_iter().flatten();
+        spans.clone().any(|(begins, ends)| *begins <= to && from <= ends.saturating_add(LINK_BACKLOG))
     }
 
-    /// A sender's folder was emptied after a time: what it owed then is lost with its machine.
+    /// Returns true if a sender's state folder was emptied at or after a time: the messages held then are
+    /// lost with it.
     pub fn emptied_after(&self, sender: u32, at: Ns) -> bool {
-        self.lives[sender as usize].iter().any(|(when, life)| *life == ProcessEvent::Emptied && *when >= at)
+        self.processes[sender as usize]
+            .iter()
+            .any(|(when, event)| *event == ProcessEvent::Emptied && *when >= at)
     }
 
-    /// A sender was started anew, or ended, in a span.
-    pub fn restarted(&self, sender: u32, from: Ns, to: Ns) -> bool {
-        let ends = |life: &ProcessEvent| {
-            matches!(life, ProcessEvent::Killed | ProcessEvent::Terminated | ProcessEvent::Started)
+    /// Returns true if a process of a sender was started or told to end within a span.
+    pub fn restarted_within(&self, sender: u32, from: Ns, to: Ns) -> bool {
+        let restarts = |event: &ProcessEvent| {
+            matches!(event, ProcessEvent::Killed | ProcessEvent::Terminated | ProcessEvent::Started)
         };
-        self.lives[sender as usize].iter().any(|(at, life)| ends(life) && (from..=to).contains(at))
+        self.processes[sender as usize].iter().any(|(at, event)| restarts(event) && (from..=to).contains(at))
     }
 
-    /// Since when a sender has been told, at a time, that an endpoint wants nothing new.
-    pub fn told_off(&self, sender: u32, endpoint: u32, at: Ns) -> Option<Ns> {
-        let ready =
-            self.lives[sender as usize].iter().filter(|(when, l)| *l == ProcessEvent::Ready && *when <= at);
+    /// Returns since when a sender has known, at a time, that an endpoint is draining or gone.
+    pub fn known_draining_since(&self, sender: u32, endpoint: u32, at: Ns) -> Option<Ns> {
+        let ready = self.processes[sender as usize]
+            .iter()
+            .filter(|(when, l)| *l == ProcessEvent::Ready && *when <= at);
         let ready = ready.map(|(when, _)| *when).max().unwrap_or(0);
-        let counted = self
+        let presumed = self
             .changes
             .iter()
             .filter(|c| c.1 == endpoint)
-            .map(|c| ((c.0 + TOLD).max(ready + TOLD_NEW), c.2));
-        let told = self.told.get(&(sender, endpoint)).into_iter().flatten().copied();
-        let mut all: Vec<(Ns, Lifecycle)> = counted.chain(told).filter(|(when, _)| *when <= at).collect();
+            .map(|c| ((c.0 + KNOWN_AFTER_CHANGE).max(ready + KNOWN_AFTER_READY), c.2));
+        let sent = self.sent_changes.get(&(sender, endpoint)).into_iter().flatten().copied();
+        let mut all: Vec<(Ns, Lifecycle)> = presumed.chain(sent).filter(|(when, _)| *when <= at).collect();
         all.sort_by_key(|(when, _)| *when);
-        let since_ready = all.iter().rposition(|(_, l)| *l == Lifecycle::Ready).map_or(0, |i| i + 1);
-        all.get(since_ready).map(|(when, _)| *when)
+        let after_ready = all.iter().rposition(|(_, l)| *l == Lifecycle::Ready).map_or(0, |i| i + 1);
+        all.get(after_ready).map(|(when, _)| *when)
     }
 }
--- a/crates/testbed/src/judge/mod.rs
+++ b/crates/testbed/src/judge/mod.rs
@@ -1,5 +1,7 @@
-//! The verdict over a play: a pure function of the terms and the facts. `rules` holds a function for each rule of
-//! the brief and the protocol; `docs/design/proving-ground.md` lists them.
+//! Judges a play: finds violations of the rules in its facts.
+//!
+//! `rules` has one function for each rule of the brief and the protocol; `docs/design/proving-ground.md`
+//! lists them.
 mod fact_index;
 mod rules;
 
@@ -10,22 +12,34 @@
 use crate::plan::Terms;
 use serde::{Deserialize, Serialize};
 
+/// The rules that senders have to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
+    /// Each accepted message ends, and clients get an answer.
     Lost,
+    /// Messages end by their deadline, within a grace period.
     LateEnd,
+    /// A message that must not be repeated is not sent again once a call may have run.
     Twice,
+    /// A sender starts no new call to an endpoint that it knows to drain.
     Drain,
+    /// A sender waits as long as a refusal's `Retry-After` asks.
     Wait,
+    /// Senders that saw a destination fail don't overload it when it returns.
     ColdReturn,
+    /// Calls go to endpoints of the message's destination.
     Misdirected,
+    /// Each call has a client's message, unchanged, and no more attempts than allowed.
     Stray,
+    /// Peers that send no valid request get an error or a close in time.
     Stranger,
+    /// A process doesn't end by itself, is ready in time, and refuses another sender's state.
     Crash,
 }
 
 impl Rule {
+    /// All rules, in the order of reports.
     pub const ALL: [Rule; 10] = [
         Rule::Lost,
         Rule::LateEnd,
@@ -39,6 +53,7 @@
         Rule::Crash,
     ];
 
+    /// Returns the rule's name in reports and in `verdict.json`.
     pub fn name(self) -> &'static str {
         match self {
             Rule::Lost => "lost",
@@ -55,22 +70,24 @@
     }
 }
 
-/// One break of one rule, in words that name who, what and when.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Violation {
     pub rule: Rule,
     pub at: Ns,
+    /// Says which message, call or sender it was.
     #[serde(rename = "what")]
     pub description: String,
 }
 
-/// All breaks of rules, in the order of the rules and of time.
+/// Returns all violations in the facts of a play, in the order of rules and times.
 pub fn violations(terms: &Terms, facts: &[Fact]) -> Vec<Violation> {
     violations_of(&FactIndex::new(terms, facts))
 }
 
-pub fn violations_of(case: &FactIndex) -> Vec<Violation> {
-    let mut all: Vec<Violation> = Rule::ALL.iter().flat_map(|rule| rules::violations(case, *rule)).collect();
+/// Does the same for facts that are indexed already.
+pub fn violations_of(index: &FactIndex) -> Vec<Violation> {
+    let mut all: Vec<Violation> = Rule::ALL.iter().flat_map(|rule| rules::violations(index, *rule)).collect();
     all.sort_by_key(|b| (b.rule, b.at));
     all
 }
--- a/crates/testbed/src/judge/rules.rs
+++ b/crates/testbed/src/judge/rules.rs
@@ -1,4 +1,4 @@
-//! Each rule, as a function from the case to its breaks.
+//! The rules: for each a function that returns its violations, as times and descriptions.
 use super::fact_index::{Call, FactIndex};
 use super::{Rule, Violation};
 use crate::clock::{Ns, MS, SECOND};
@@ -6,104 +6,113 @@
 use crate::spec::Link;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Each time limit is so much longer on sockets (PROTOCOL, The rules on sockets).
+/// Added to each time limit on sockets (PROTOCOL, The rules on sockets).
 const SLACK: Ns = 50 * MS;
-/// A message's end may come so long after its time.
-const LATE: Ns = 300 * MS;
-/// New work to an endpoint ends so long after the sender heard that it drains.
-const DRAIN: Ns = 500 * MS;
-/// Calls that cross a told wait are let through for so long.
-const CROSSING: Ns = 100 * MS;
-/// Connections closed without an answer: one message in so many is forgiven (FLEET).
-const UNANSWERED: usize = 200;
+/// How long after its deadline a message may end.
+const END_GRACE: Ns = 300 * MS;
+/// How long after a sender learned that an endpoint drains it may still start calls to it.
+const DRAIN_GRACE: Ns = 500 * MS;
+/// How long after a refusal with `Retry-After` calls may arrive that were under way already.
+const CROSSING_GRACE: Ns = 100 * MS;
+/// One connection closed without an answer is forgiven for each of this many messages (FLEET).
+const MESSAGES_PER_FORGIVEN_CLOSE: usize = 200;
 
-pub fn violations(case: &FactIndex, rule: Rule) -> Vec<Violation> {
+/// Returns the violations of one rule.
+pub fn violations(index: &FactIndex, rule: Rule) -> Vec<Violation> {
     let found = match rule {
-        Rule::Lost => lost(case),
-        Rule::LateEnd => late_end(case),
-        Rule::Twice => twice(case),
-        Rule::Drain => drain(case),
-        Rule::Wait => wait(case),
-        Rule::ColdReturn => cold_return(case),
-        Rule::Misdirected => misdirected(case),
-        Rule::Stray => stray(case),
-        Rule::Stranger => stranger(case),
-        Rule::Crash => crash(case),
+        Rule::Lost => lost(index),
+        Rule::LateEnd => late_end(index),
+        Rule::Twice => twice(index),
+        Rule::Drain => drain(index),
+        Rule::Wait => wait(index),
+        Rule::ColdReturn => cold_return(index),
+        Rule::Misdirected => misdirected(index),
+        Rule::Stray => stray(index),
+        Rule::Stranger => stranger(index),
+        Rule::Crash => crash(index),
     };
     found.into_iter().map(|(at, description)| Violation { rule, at, description }).collect()
 }
 
-type Found = Vec<(Ns, String)>;
+/// Times and descriptions of violations.
+type Findings = Vec<(Ns, String)>;
 
 fn ms(span: Ns) -> i64 {
     span / MS
 }
 
-/// Taken on, and neither delivered nor ended by a notice; or a client's connection ended without an answer.
-fn lost(case: &FactIndex) -> Found {
+/// Finds accepted messages that were neither delivered nor ended by a notice, and client connections closed
+/// without an answer.
+fn lost(index: &FactIndex) -> Findings {
     let mut found = Vec::new();
     let mut closed = Vec::new();
-    for m in case.messages.values() {
-        if let Some(taken) = m.taken() {
-            if case.ended(m).is_none() && !case.emptied_after(m.sender, taken) {
+    for m in index.messages.values() {
+        if let Some(accepted_at) = m.accepted_at() {
+            if index.ended_at(m).is_none() && !index.emptied_after(m.sender, accepted_at) {
                 let what = format!(
-                    "message {:016x}, taken on by sender {} at {} ms, has no end",
+                    "message {:016x}, accepted by sender {} at {} ms, has not ended",
                     m.id,
                     m.sender,
-                    ms(taken)
+                    ms(accepted_at)
                 );
                 found.push((m.due, what));
             }
         }
-        if let Some((at, HandInResult::Closed)) = m.heard {
-            if !case.excused(m.sender, at) {
+        if let Some((at, HandInResult::Closed)) = m.result {
+            if !index.notices_excused(m.sender, at) {
                 closed.push((at, m.id, m.sender));
             }
         }
     }
-    if closed.len() * UNANSWERED > case.messages.len() {
+    if closed.len() * MESSAGES_PER_FORGIVEN_CLOSE > index.messages.len() {
         found.extend(closed.into_iter().map(|(at, id, sender)| {
             (
                 at,
-                format!("message {id:016x}: sender {sender} ended its client's connection without an answer"),
+                format!(
+                    "message {id:016x}: sender {sender} closed its client's connection without an answer"
+                ),
             )
         }));
     }
     found
 }
 
-fn late_end(case: &FactIndex) -> Found {
-    let late = case.messages.values().filter(|m| m.taken().is_some()).filter_map(|m| {
-        let ended = case.ended(m)?;
-        let bound = m.due + LATE + SLACK;
-        // A restart excuses what became due under it, until it is over.
-        let kept = ended <= bound || case.excused(m.sender, bound) && case.excused(m.sender, ended);
+/// Finds messages that ended too long after their deadline.
+fn late_end(index: &FactIndex) -> Findings {
+    let late = index.messages.values().filter(|m| m.accepted_at().is_some()).filter_map(|m| {
+        let ended = index.ended_at(m)?;
+        let bound = m.due + END_GRACE + SLACK;
+        // A restart excuses the messages that became due during it, until it is over.
+        let in_time = ended <= bound
+            || index.notices_excused(m.sender, bound) && index.notices_excused(m.sender, ended);
         let late = ms(ended - m.due);
-        (!kept).then(|| (ended, format!("message {:016x}: its end came {late} ms after its time", m.id)))
+        (!in_time).then(|| (ended, format!("message {:016x} ended {late} ms after its deadline", m.id)))
     });
     late.collect()
 }
 
-/// The call had certainly no effect, and this was told before `at`.
-fn refused_before(call: &Call, at: Ns) -> bool {
+/// Returns true if the sender knew at `at` that the call had no effect.
+fn known_refused_before(call: &Call, at: Ns) -> bool {
     call.reply.is_some_and(|(when, reply)| reply.never_ran() && when <= at)
 }
 
-fn twice(case: &FactIndex) -> Found {
+/// Finds messages that must not be repeated, but took effect twice, were sent again or were handed back
+/// although a call may have run.
+fn twice(index: &FactIndex) -> Findings {
     let mut found = Vec::new();
-    for m in case.messages.values() {
-        let repeatable = case.class_of(m).is_none_or(|c| case.terms.classes[c].may_repeat);
+    for m in index.messages.values() {
+        let repeatable = index.class_of(m).is_none_or(|c| index.terms.classes[c].may_repeat);
         if repeatable {
             continue;
         }
-        let calls: Vec<&Call> = m.calls.iter().map(|c| &case.calls[*c]).collect();
+        let calls: Vec<&Call> = m.calls.iter().map(|c| &index.calls[*c]).collect();
         let effects = calls.iter().map(|c| c.effects.len()).sum::<usize>();
         if effects > 1 {
             let at = calls.iter().flat_map(|c| &c.effects).max().copied().unwrap_or_default();
             found.push((at, format!("message {:016x} took effect {effects} times", m.id)));
         }
         for (i, later) in calls.iter().enumerate() {
-            if let Some(earlier) = calls[..i].iter().find(|c| !refused_before(c, later.first)) {
+            if let Some(earlier) = calls[..i].iter().find(|c| !known_refused_before(c, later.first)) {
                 let what = format!(
                     "message {:016x}: call {} of sender {} follows call {}, which may have run",
                     m.id, later.number, later.sender, earlier.number
@@ -112,7 +121,7 @@
             }
         }
         for (at, notice) in &m.notices {
-            if *notice == Notice::HandedBack && calls.iter().any(|c| !refused_before(c, *at)) {
+            if *notice == Notice::HandedBack && calls.iter().any(|c| !known_refused_before(c, *at)) {
                 found.push((
                     *at,
                     format!("message {:016x} was handed back after a call that may have run", m.id),
@@ -123,14 +132,15 @@
     found
 }
 
-fn drain(case: &FactIndex) -> Found {
-    let late = case.calls.iter().filter_map(|call| {
-        let told = case.told_off(call.sender, call.endpoint, call.first)?;
-        let after = call.first - told;
-        let held_up = case.hurt(Link::Endpoints, call.sender, call.first, call.first);
-        (after > DRAIN + SLACK && !held_up).then(|| {
+/// Finds calls to endpoints that the sender knew to drain.
+fn drain(index: &FactIndex) -> Findings {
+    let late = index.calls.iter().filter_map(|call| {
+        let known_since = index.known_draining_since(call.sender, call.endpoint, call.first)?;
+        let after = call.first - known_since;
+        let delayed = index.link_disturbed(Link::Endpoints, call.sender, call.first, call.first);
+        (after > DRAIN_GRACE + SLACK && !delayed).then(|| {
             let what = format!(
-                "call {} of sender {} to endpoint {} began {} ms after it was told that it drains",
+                "call {} of sender {} to endpoint {} began {} ms after the sender knew that it drains",
                 call.number,
                 call.sender,
                 call.endpoint,
@@ -142,21 +152,22 @@
     late.collect()
 }
 
-fn wait(case: &FactIndex) -> Found {
-    let dest = |c: &Call| case.terms.dest_of[c.endpoint as usize];
+/// Finds calls to a destination within the `Retry-After` of a refusal by it.
+fn wait(index: &FactIndex) -> Findings {
+    let dest = |c: &Call| index.terms.dest_of[c.endpoint as usize];
     let mut by_pair: BTreeMap<(u32, u32), Vec<&Call>> = BTreeMap::new();
-    for call in &case.calls {
+    for call in &index.calls {
         by_pair.entry((call.sender, dest(call))).or_default().push(call);
     }
     let mut found = Vec::new();
     for ((sender, dest), calls) in by_pair {
-        for told in &calls {
-            let Some((at, Reply::Refused { wait: Some(wait), .. })) = told.reply else { continue };
-            let inside = at + CROSSING + SLACK..at + wait - SLACK;
-            for call in calls.iter().filter(|c| inside.contains(&c.last)) {
-                // Over a link that holds things up neither the wait nor the call came when it was sent.
-                let crossed = case.hurt(Link::Endpoints, sender, at, call.last);
-                if !crossed && !case.restarted(sender, at, call.last) {
+        for refused in &calls {
+            let Some((at, Reply::Refused { wait: Some(wait), .. })) = refused.reply else { continue };
+            let forbidden = at + CROSSING_GRACE + SLACK..at + wait - SLACK;
+            for call in calls.iter().filter(|c| forbidden.contains(&c.last)) {
+                // On a disturbed link both the refusal and the call may have been delayed.
+                let delayed = index.link_disturbed(Link::Endpoints, sender, at, call.last);
+                if !delayed && !index.restarted_within(sender, at, call.last) {
                     let what =
                         format!(
                         "call {} of sender {sender} came to destination {dest} {} ms into a wait of {} ms",
@@ -167,33 +178,35 @@
             }
         }
     }
-    // A call within two waits is one break.
+    // A call within two waits is one violation.
     found.sort();
     found.dedup_by(|a, b| a.0 == b.0);
     found
 }
 
-/// Two thirds of what pushed a cold endpoint over came from senders that had seen its destination fail.
-fn cold_return(case: &FactIndex) -> Found {
+/// Finds cold endpoints that failed under calls of which two thirds or more came from senders that had seen
+/// the destination fail.
+fn cold_return(index: &FactIndex) -> Findings {
     let mut found = Vec::new();
-    for (at, endpoint) in &case.falls {
-        let dest = case.terms.dest_of[*endpoint as usize];
-        let Some((from, to)) = case.outages.get(&dest).and_then(|o| o.iter().rfind(|o| o.1 <= *at)) else {
+    for (at, endpoint) in &index.overload_failures {
+        let dest = index.terms.dest_of[*endpoint as usize];
+        let Some((from, to)) = index.outages.get(&dest).and_then(|o| o.iter().rfind(|o| o.1 <= *at)) else {
             continue;
         };
-        let knows = knowing(case, dest, *from, *to);
-        let pushed = case.calls.iter().filter(|c| {
-            c.endpoint == *endpoint && (*at - case.terms.overload_window..=*at).contains(&c.last)
+        let saw_failure = senders_that_saw_failure(index, dest, *from, *to);
+        let recent = index.calls.iter().filter(|c| {
+            c.endpoint == *endpoint && (*at - index.terms.overload_window..=*at).contains(&c.last)
         });
         let (mut all, mut knowing) = (0, 0);
-        for call in pushed {
+        for call in recent {
             all += 1;
-            knowing += usize::from(knows.contains(&call.sender));
+            knowing += usize::from(saw_failure.contains(&call.sender));
         }
         if knowing * 3 >= all * 2 {
             let what = format!(
-                "endpoint {endpoint} fell over under {all} calls in {} s, {knowing} of them from senders that had seen it fail",
-                case.terms.overload_window / SECOND
+                "endpoint {endpoint} failed under {all} calls within {} s, {knowing} of them from senders that had \
+                 seen its destination fail",
+                index.terms.overload_window / SECOND
             );
             found.push((*at, what));
         }
@@ -201,24 +214,25 @@
     found
 }
 
-/// Senders that had a call fail at a destination in an outage. Refused connections reach no ledger, so whoever had a
-/// message for the destination in that time counts too.
-fn knowing(case: &FactIndex, dest: u32, from: Ns, to: Ns) -> BTreeSet<u32> {
-    let called = case.calls.iter().filter(|c| {
+/// Returns the senders that had a call fail at a destination during an outage. Refused connections are not
+/// among the facts, so senders that held a message for the destination at that time count too.
+fn senders_that_saw_failure(index: &FactIndex, dest: u32, from: Ns, to: Ns) -> BTreeSet<u32> {
+    let called = index.calls.iter().filter(|c| {
         let fails = c.reply.is_none_or(|(_, r)| r != Reply::Delivered);
-        fails && case.terms.dest_of[c.endpoint as usize] == dest && (from..=to).contains(&c.last)
+        fails && index.terms.dest_of[c.endpoint as usize] == dest && (from..=to).contains(&c.last)
     });
-    let held = case.messages.values().filter(|m| {
-        let of = case.requests.get(&m.request).is_some_and(|r| r.dest == dest);
-        of && m.taken().is_some_and(|t| t <= to) && case.ended(m).is_none_or(|e| e >= from)
+    let held = index.messages.values().filter(|m| {
+        let of = index.requests.get(&m.request).is_some_and(|r| r.dest == dest);
+        of && m.accepted_at().is_some_and(|t| t <= to) && index.ended_at(m).is_none_or(|e| e >= from)
     });
     called.map(|c| c.sender).chain(held.map(|m| m.sender)).collect()
 }
 
-fn misdirected(case: &FactIndex) -> Found {
-    let wrong = case.calls.iter().filter_map(|call| {
-        let request = case.requests.get(&case.messages.get(&call.message)?.request)?;
-        let dest = case.terms.dest_of[call.endpoint as usize];
+/// Finds calls to an endpoint of another destination.
+fn misdirected(index: &FactIndex) -> Findings {
+    let misdirected = index.calls.iter().filter_map(|call| {
+        let request = index.requests.get(&index.messages.get(&call.message)?.request)?;
+        let dest = index.terms.dest_of[call.endpoint as usize];
         (dest != request.dest).then(|| {
             let what = format!(
                 "call {}: a message for destination {} went to endpoint {} of destination {dest}",
@@ -227,63 +241,71 @@
             (call.last, what)
         })
     });
-    wrong.collect()
+    misdirected.collect()
 }
 
-/// Calls that no client stands behind, or with another body, or past the bound on attempts.
-fn stray(case: &FactIndex) -> Found {
-    let mut found: Found = case
-        .nameless
+/// Finds calls without a client's message, with a changed body, or beyond the highest number of attempts.
+fn stray(index: &FactIndex) -> Findings {
+    let mut found: Findings = index
+        .calls_without_id
         .iter()
         .map(|(at, sender, endpoint)| {
-            (*at, format!("a call of sender {sender} to endpoint {endpoint} names no message"))
+            (*at, format!("a call of sender {sender} to endpoint {endpoint} has no message id"))
         })
         .collect();
     let mut attempts: HashMap<u64, usize> = HashMap::new();
-    for call in &case.calls {
+    for call in &index.calls {
         let count = attempts.entry(call.message).or_default();
         *count += 1;
-        if !case.messages.contains_key(&call.message) {
+        if !index.messages.contains_key(&call.message) {
             found.push((
                 call.last,
-                format!("call {}: no client handed in {:016x}", call.number, call.message),
+                format!("call {}: no client handed in message {:016x}", call.number, call.message),
             ));
         } else if !call.intact {
             found.push((
                 call.last,
-                format!("call {}: message {:016x} has another body", call.number, call.message),
+                format!("call {}: the body of message {:016x} was changed", call.number, call.message),
             ));
-        } else if *count == case.terms.max_attempts + 1 {
+        } else if *count == index.terms.max_attempts + 1 {
             found.push((
                 call.last,
-                format!("message {:016x} has more than {} attempts", call.message, case.terms.max_attempts),
+                format!("message {:016x} has more than {} attempts", call.message, index.terms.max_attempts),
             ));
         }
     }
     found
 }
 
-fn stranger(case: &FactIndex) -> Found {
-    let owed = case.strangers.iter().filter(|s| !case.excused(s.sender, s.at)).filter_map(|s| {
-        let what = match s.answered {
-            _ if s.taken => "was taken on".to_string(),
-            None => format!("had neither an error nor a close within {} ms", ms(s.within)),
-            Some(after) if after > s.within + SLACK => format!("was answered after {} ms", ms(after)),
-            Some(_) => return None,
-        };
-        Some((s.at, format!("a stranger ({}) at sender {} {what}", s.form, s.sender)))
-    });
-    owed.collect()
+/// Finds peers that sent no valid request and were accepted, or not answered in time.
+fn stranger(index: &FactIndex) -> Findings {
+    let violated =
+        index.strangers.iter().filter(|s| !index.notices_excused(s.sender, s.at)).filter_map(|s| {
+            let what = match s.answered {
+                _ if s.taken => "was accepted".to_string(),
+                None => format!("got neither an error nor a close within {} ms", ms(s.within)),
+                Some(after) if after > s.within + SLACK => format!("was answered after {} ms", ms(after)),
+                Some(_) => return None,
+            };
+            Some((s.at, format!("a stranger ({}) at sender {} {what}", s.form, s.sender)))
+        });
+    violated.collect()
 }
 
-fn crash(case: &FactIndex) -> Found {
-    let lives =
-        case.lives.iter().enumerate().flat_map(|(sender, lives)| lives.iter().map(move |l| (sender, l)));
-    let ends = lives.filter_map(|(sender, (at, life))| match life {
-        ProcessEvent::Exited { expected: false } => Some((*at, format!("sender {sender} ended unasked"))),
-        ProcessEvent::TookForeignFolder => Some((*at, format!("sender {sender} took up another's folder"))),
+/// Finds processes that ended by themselves, were not ready in time or used another sender's state.
+fn crash(index: &FactIndex) -> Findings {
+    let events = index
+        .processes
+        .iter()
+        .enumerate()
+        .flat_map(|(sender, events)| events.iter().map(move |e| (sender, e)));
+    let violations = events.filter_map(|(sender, (at, event))| match event {
+        ProcessEvent::Exited { expected: false } => Some((*at, format!("sender {sender} ended by itself"))),
+        ProcessEvent::TookForeignFolder => {
+            Some((*at, format!("sender {sender} used another sender's state folder")))
+        }
         ProcessEvent::NotReady => Some((*at, format!("sender {sender} was not ready in time"))),
         _ => None,
     });
-    ends.collect()
+    violations.collect()
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,8 +1,8 @@
 //! Proving ground: the platform's stand-ins on loopback round real senders, with faults, load and a judge.
 //!
-//! `docs/design/proving-ground.md` says what is promised. The cores (`platform`, `judge`, `score`, `plan`) take
-//! time and randomness as arguments; `endpoints`, `discovery`, `clients`, `strangers` and `process` are the
-//! sockets and processes that feed them; `play` puts them together.
+//! `docs/design/proving-ground.md` says what is promised. The cores (`platform`, `judge`, `score`, `plan`)
+//! take time and randomness as arguments; `endpoints`, `discovery`, `clients`, `strangers` and `process` are
+//! the sockets and processes that feed them; `play` puts them together.
 pub mod addresses;
 pub mod capacity;
 pub mod client_retry;
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -1,5 +1,7 @@
-//! What the seed draws from an experiment: destinations, endpoints, settings, arrivals and the schedule. All of it
-//! is data, drawn ahead, and the same whenever seed and experiment are.
+//! The plan of a play: destinations, endpoints, senders, their settings, arrivals and the schedule.
+//!
+//! All of it is drawn before the play begins, from an experiment and a seed alone: the same pair gives the
+//! same plan.
 use crate::clock::{from_seconds, Ns, MS, SECOND};
 use crate::platform::limit::LimitKind;
 use crate::seed::Seed;
@@ -9,97 +11,117 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-/// The classes in the order of their numbers: the brief, 5.
+/// Number of the class `rate-push` (brief, section 5).
 pub const RATE_PUSH: usize = 0;
+/// Number of the class `booking` (brief, section 5).
 pub const BOOKING: usize = 1;
-/// How long a replaced endpoint drains before it is gone.
-const DRAIN: Ns = 4 * SECOND;
+/// How long a replaced endpoint drains before it is removed.
+const DRAIN_SPAN: Ns = 4 * SECOND;
+/// SIGKILL follows SIGTERM after this time at the earliest (PROTOCOL, Figures).
+const KILL_DELAY: Ns = 3_700 * MS;
 
 /// A class of message.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Class {
     pub name: String,
-    /// Delivered within it, a message earns its full worth.
+    /// A message delivered within this time earns its full worth.
     pub aim: Ns,
     pub deadline: Ns,
     pub worth: f64,
-    /// Share of the worth that is left at the deadline.
+    /// Share of the worth that a message delivered at its deadline earns. Between `aim` and the deadline it
+    /// falls linearly.
     pub late_worth: f64,
+    /// A message of this class may take effect more than once.
     pub may_repeat: bool,
-    /// Mean work at an endpoint of usual pace.
+    /// Mean service time at an endpoint with a work factor of 1.
     pub work: Ns,
 }
 
-/// What the judge goes by: the figures of the pages, and whom each endpoint belongs to.
+/// Parameters of the judge: the figures of the specification, and the destination of each endpoint.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Terms {
     pub senders: usize,
     pub classes: Vec<Class>,
-    /// The destination of each endpoint, by number; those that come later included.
+    /// The destination of each endpoint, by number, including endpoints added during the play.
     pub dest_of: Vec<u32>,
     pub max_attempts: usize,
-    /// The play's part in which messages are asked for.
+    /// How long clients hand in messages, from the beginning of the play.
     #[serde(rename = "asking")]
     pub request_span: Ns,
-    /// How long a cold destination has to be sent too much before it falls over.
+    /// Time over which the calls to a cold endpoint are counted to decide whether it fails under them.
     #[serde(rename = "fall")]
     pub overload_window: Ns,
 }
 
+/// A destination of the plan.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Destination {
+    /// Takes messages of class `booking` too.
     pub flagship: bool,
     /// Share of all messages.
     pub share: f64,
-    pub form: LimitKind,
-    /// Calls a second from all senders together.
+    #[serde(rename = "form")]
+    pub limit_kind: LimitKind,
+    /// Rate limit in calls a second, over all senders.
     pub per_s: f64,
+    /// Refused calls count against the rate limit too.
     pub counts_refused: bool,
-    /// Share of refusals that tell a wait, and that wait where the limit does not give one.
-    pub tells: f64,
-    pub wait: Ns,
-    /// Work takes so many times as long as at an endpoint of usual pace.
-    pub pace: f64,
+    /// Share of refusals that have a `Retry-After`.
+    #[serde(rename = "tells")]
+    pub retry_after_share: f64,
+    /// Shortest `Retry-After` of a refusal by the rate limit.
+    #[serde(rename = "wait")]
+    pub min_retry_after: Ns,
+    /// Multiplies the service time of calls.
+    #[serde(rename = "pace")]
+    pub work_factor: f64,
+    /// Numbers of its endpoints that are listed from the beginning.
     pub endpoints: Vec<u32>,
 }
 
+/// An endpoint of the plan.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Endpoint {
     pub name: String,
     pub dest: u32,
     pub zone: u32,
-    /// Calls served at once, and those that may wait for it.
+    /// Number of calls that it serves at a time.
     pub slots: usize,
+    /// Number of calls that may wait for a slot.
     pub queue: usize,
-    /// Connections that it holds, idle ones included; none if there is no bound.
+    /// Highest number of connections, including idle ones; `None` if there is no bound.
     pub connections: Option<usize>,
-    /// Listed from the beginning; else it takes another's place.
+    /// Listed from the beginning. Otherwise it replaces another endpoint during the play.
     pub listed: bool,
 }
 
+/// A sender of the plan.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Sender {
     pub name: String,
     /// Share of all messages.
     pub share: f64,
+    /// Number of calls that it may have in flight.
     pub slots: usize,
+    /// Number of messages that it may hold.
     pub max_open: usize,
 }
 
 /// A message that a client wants delivered.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Arrival {
+    /// When its client first hands it in.
     pub at: Ns,
     pub sender: u32,
     pub dest: u32,
     pub class: usize,
-    /// What it is to an endpoint of usual pace.
+    /// Service time at an endpoint with a work factor of 1.
     pub work: Ns,
-    /// Bytes of its body.
+    /// Length of the body in bytes.
     pub size: usize,
 }
 
-/// Something that happens at a time. Each trouble has two: its beginning and its end.
+/// A scheduled action. A fault with a duration has two steps: its beginning and its end.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Step {
     pub at: Ns,
@@ -107,62 +129,38 @@
     pub action: StepAction,
 }
 
+/// What the testbed does in a step.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum StepAction {
-    /// A destination's trouble begins (`size` as in the experiment) or ends.
-    Begin {
-        dest: u32,
-        kind: EventKind,
-        size: f64,
-        until: Ns,
-    },
-    End {
-        dest: u32,
-        kind: EventKind,
-    },
-    /// An endpoint drains, is gone, or is listed for the first time.
-    Drain {
-        endpoint: u32,
-    },
+    /// Begin a fault of a destination; `size` is that of the event.
+    Begin { dest: u32, kind: EventKind, size: f64, until: Ns },
+    /// End a fault of a destination.
+    End { dest: u32, kind: EventKind },
+    /// Let an endpoint drain.
+    Drain { endpoint: u32 },
+    /// Remove an endpoint.
     #[serde(rename = "gone")]
-    Remove {
-        endpoint: u32,
-    },
-    Add {
-        endpoint: u32,
-    },
-    Kill {
-        sender: u32,
-    },
-    Terminate {
-        sender: u32,
-    },
-    Pause {
-        sender: u32,
-    },
-    Continue {
-        sender: u32,
-    },
-    Start {
-        sender: u32,
-        folder: StateFolder,
-    },
-    /// Something begins or ends on a link.
-    Link {
-        sender: u32,
-        link: Link,
-        kind: EventKind,
-        size: f64,
-        begins: bool,
-    },
-    Discovery {
-        kind: EventKind,
-        size: f64,
-        begins: bool,
-    },
+    Remove { endpoint: u32 },
+    /// Add an endpoint to the list.
+    Add { endpoint: u32 },
+    /// Send SIGKILL to a sender.
+    Kill { sender: u32 },
+    /// Send SIGTERM to a sender.
+    Terminate { sender: u32 },
+    /// Send SIGSTOP to a sender.
+    Pause { sender: u32 },
+    /// Send SIGCONT to a sender.
+    Continue { sender: u32 },
+    /// Start a process of a sender.
+    Start { sender: u32, folder: StateFolder },
+    /// Begin or end a fault of a link.
+    Link { sender: u32, link: Link, kind: EventKind, size: f64, begins: bool },
+    /// Begin or end a fault of discovery.
+    Discovery { kind: EventKind, size: f64, begins: bool },
 }
 
+/// The plan of a play.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     pub seed: Seed,
@@ -175,7 +173,7 @@
     pub schedule: Vec<Step>,
 }
 
-/// Classes as the brief states them (2.1, 5.1, 5.2); work is the middle of its range.
+/// Returns the classes by number (brief, sections 2.1, 5.1 and 5.2). `work` is the middle of its range there.
 pub fn classes() -> Vec<Class> {
     vec![
         Class {
@@ -199,16 +197,17 @@
     ]
 }
 
-fn between(random: &mut impl Rng, [low, high]: [f64; 2]) -> f64 {
+/// Draws from a uniform distribution.
+fn uniform(random: &mut impl Rng, [low, high]: [f64; 2]) -> f64 {
     low + (high - low) * random.random::<f64>()
 }
 
-/// A number drawn by weight.
-fn pick(random: &mut impl Rng, weights: &[f64]) -> usize {
-    let mut at = random.random::<f64>() * weights.iter().sum::<f64>();
+/// Draws an index with the given weights.
+fn pick_weighted(random: &mut impl Rng, weights: &[f64]) -> usize {
+    let mut rest = random.random::<f64>() * weights.iter().sum::<f64>();
     for (i, weight) in weights.iter().enumerate() {
-        at -= weight;
-        if at < 0.0 {
+        rest -= weight;
+        if rest < 0.0 {
             return i;
         }
     }
@@ -216,14 +215,15 @@
 }
 
 impl Plan {
+    /// Draws the plan of an experiment from a seed.
     pub fn draw(spec: &Spec, seed: Seed) -> Plan {
         let classes = classes();
         let mut destinations = destinations(spec, seed);
         let mut endpoints = endpoints(spec, seed, &mut destinations, &classes);
         let senders = senders(spec, seed, &classes);
-        let struck = strike(spec, seed, &destinations, &senders);
-        let schedule = schedule(&struck, &destinations, &mut endpoints);
-        let arrivals = arrivals(spec, seed, &destinations, &senders, &struck, &classes);
+        let events = draw_events(spec, seed, &destinations, &senders);
+        let schedule = schedule(&events, &destinations, &mut endpoints);
+        let arrivals = arrivals(spec, seed, &destinations, &senders, &events, &classes);
         let terms = Terms {
             senders: senders.len(),
             dest_of: endpoints.iter().map(|e| e.dest).collect(),
@@ -235,31 +235,32 @@
         Plan { seed, spec: spec.clone(), terms, destinations, endpoints, senders, arrivals, schedule }
     }
 
-    /// Whether anything is to happen to a link of a sender.
+    /// Returns true if the schedule has a step for a link of a sender.
     pub fn has_link_events(&self, link: Link, sender: u32) -> bool {
-        let is = |s: &Step| matches!(s.action, StepAction::Link { sender: n, link: l, .. } if n == sender && l == link);
-        self.schedule.iter().any(is)
+        let is_for_link = |s: &Step| matches!(s.action, StepAction::Link { sender: n, link: l, .. } if n == sender && l == link);
+        self.schedule.iter().any(is_for_link)
     }
 
-    /// The object that a sender finds under `settings`, as WIRE names it.
+    /// Returns the object under `settings` in a sender's configuration (WIRE).
     pub fn settings(&self, sender: usize) -> Value {
         let services: Vec<Value> = self.terms.classes.iter().map(service).collect();
         let zones: Vec<String> = (0..self.spec.platform.zones).map(zone_name).collect();
-        let one = &self.senders[sender];
+        let drawn = &self.senders[sender];
         json!({
             "Clients": {"MarksRetry": true}, "Discovery": "automatic", "Family": "deliver",
-            "FamilyInfo": {"CallsOut": one.slots, "Decay": "line", "KindBatch": [1, 1], "RefusalCost": 0.03,
+            "FamilyInfo": {"CallsOut": drawn.slots, "Decay": "line", "KindBatch": [1, 1], "RefusalCost": 0.03,
                 "RouteFee": [0.0], "SeparateRoutes": [false, false]},
             "Feedback": {"Fields": [], "Source": "silent"}, "Kinds": ["flagship", "independent"],
             "Limits": {"Cancel": true, "DialTimeoutNs": SECOND, "IdleCloseNs": 10 * SECOND,
-                "MaxAttempts": self.terms.max_attempts, "MaxOpen": one.max_open,
+                "MaxAttempts": self.terms.max_attempts, "MaxOpen": drawn.max_open,
                 "MaxRetryAfterNs": 2 * SECOND, "MayDuplicate": true, "Peers": false, "Probes": true,
                 "RetryAfter": true, "StreamsPerConn": 1},
             "Localities": zones, "NInstances": self.senders.len(), "Position": sender,
             "Prices": {"CrossZone": 0.0, "Handshake": 0.02, "LateFail": 0.015, "Probe": 0.01, "Waste": 0.086},
             "Realms": [],
             "Safety": {"AnswerSlackNs": 20 * MS, "ColdNs": from_seconds(self.spec.platform.cold_s),
-                "FallMultiple": crate::platform::destination::FALL_MULTIPLE, "OverloadForNs": self.terms.overload_window,
+                "FallMultiple": crate::platform::destination::OVERLOAD_MULTIPLE,
+                "OverloadForNs": self.terms.overload_window,
                 "StartCapacity": self.spec.platform.cold_from, "StopSendingWithinNs": 500 * MS},
             "Services": services, "Stages": ["channels"], "TickNs": 5 * MS, "Tier": 0, "Weights": "nominal",
             "WorthBy": "request", "Zone": 0,
@@ -267,10 +268,12 @@
     }
 }
 
+/// Returns the name of a zone in settings and in the list.
 pub fn zone_name(zone: u32) -> String {
     format!("sapporo-{}", zone + 1)
 }
 
+/// Returns the entry of a class under `Services` in the settings.
 fn service(class: &Class) -> Value {
     let effect = if class.may_repeat { "safe" } else { "unsafe" };
     json!({"Name": class.name, "PromiseNs": class.aim, "DeadlineNs": class.deadline, "Effect": effect,
@@ -278,7 +281,8 @@
         "Streamed": false})
 }
 
-/// Shares by Zipf; flagships are the largest (6.3). Limits by the calls at full load (6.3, 6.4).
+/// Draws the destinations. Shares follow a Zipf distribution, and flagships have the largest (brief, section
+/// 6.3). Rate limits are sized for the calls at full load (sections 6.3 and 6.4).
 fn destinations(spec: &Spec, seed: Seed) -> Vec<Destination> {
     let mut random = seed.stream("destinations", 0);
     let (traffic, platform) = (&spec.traffic, &spec.platform);
@@ -291,27 +295,28 @@
             let flagship = i < platform.flagships;
             let bookings = if flagship { traffic.booking * zipf(i) / flagships } else { 0.0 };
             let share = bookings + (1.0 - traffic.booking) * zipf(i) / all;
-            let (headroom, least, tells, wait, slow) = match flagship {
+            let (headroom, min_limit, retry_after_share, min_retry_after, work_deviation) = match flagship {
                 true => ([0.91, 1.8], [2.5, 4.6], [0.52, 0.89], [0.41, 0.94], 0.48),
                 false => ([1.2, 1.8], [1.5, 3.9], [0.04, 0.55], [0.2, 0.97], 0.62),
             };
-            let slow = LogNormal::<f64>::new(0.0, slow).expect("a finite deviation");
+            let work_factor = LogNormal::<f64>::new(0.0, work_deviation).expect("a finite deviation");
             Destination {
                 flagship,
                 share,
-                form: if flagship { LimitKind::Rate } else { LimitKind::Window },
-                per_s: (full * share * between(&mut random, headroom)).max(between(&mut random, least)),
+                limit_kind: if flagship { LimitKind::Rate } else { LimitKind::Window },
+                per_s: (full * share * uniform(&mut random, headroom)).max(uniform(&mut random, min_limit)),
                 counts_refused: !flagship,
-                tells: between(&mut random, tells),
-                wait: from_seconds(between(&mut random, wait)),
-                pace: slow.sample(&mut random).clamp(0.3, 4.0),
+                retry_after_share: uniform(&mut random, retry_after_share),
+                min_retry_after: from_seconds(uniform(&mut random, min_retry_after)),
+                work_factor: work_factor.sample(&mut random).clamp(0.3, 4.0),
                 endpoints: Vec::new(),
             }
         })
         .collect()
 }
 
-/// One for each destination, the others by traffic, four at most (6.1). Slots by capacity over the limit.
+/// Draws the endpoints: one for each destination, and the others by traffic, at most four for one destination
+/// (brief, section 6.1). Slots are sized for a capacity somewhat above the rate limit.
 fn endpoints(spec: &Spec, seed: Seed, dests: &mut [Destination], classes: &[Class]) -> Vec<Endpoint> {
     let mut random = seed.stream("endpoints", 0);
     let mut counts = vec![1usize; dests.len()];
@@ -319,17 +324,17 @@
         let room =
             |(d, count): (&Destination, &usize)| if *count < 4 { d.share / *count as f64 } else { 0.0 };
         let weights: Vec<f64> = dests.iter().zip(&counts).map(room).collect();
-        counts[pick(&mut random, &weights)] += 1;
+        counts[pick_weighted(&mut random, &weights)] += 1;
     }
     let mut all = Vec::new();
     for (number, (dest, count)) in dests.iter_mut().zip(counts).enumerate() {
         let class = if dest.flagship { BOOKING } else { RATE_PUSH };
-        let work = classes[class].work as f64 / SECOND as f64 * dest.pace;
-        let spare = between(&mut random, if dest.flagship { [1.2, 1.6] } else { [1.3, 1.6] });
+        let work = classes[class].work as f64 / SECOND as f64 * dest.work_factor;
+        let spare = uniform(&mut random, if dest.flagship { [1.2, 1.6] } else { [1.3, 1.6] });
         let each = dest.per_s * spare / count as f64;
         let slots = (each * work).ceil().max(1.0);
-        let depth = between(&mut random, [0.4, 0.99]);
-        let connections = (slots * between(&mut random, [2.1, 3.9])).max(between(&mut random, [8.3, 16.0]));
+        let depth = uniform(&mut random, [0.4, 0.99]);
+        let connections = (slots * uniform(&mut random, [2.1, 3.9])).max(uniform(&mut random, [8.3, 16.0]));
         for _ in 0..count {
             dest.endpoints.push(all.len() as u32);
             all.push(Endpoint {
@@ -346,7 +351,8 @@
     all
 }
 
-/// Shares spread by a lognormal; slots 2 to 2.4 times what a sender's part keeps busy, places for 6.4 to 12 s (7.3).
+/// Draws the senders. Shares follow a lognormal distribution. A sender has 2 to 2.4 times the slots that its
+/// share of the full load keeps busy, and may hold the messages of 6.4 to 12 s (brief, section 7.3).
 fn senders(spec: &Spec, seed: Seed, classes: &[Class]) -> Vec<Sender> {
     let mut random = seed.stream("senders", 0);
     let spread = LogNormal::new(0.0, spec.traffic.sender_spread).expect("a finite deviation");
@@ -364,15 +370,15 @@
             Sender {
                 name: format!("n{i}"),
                 share,
-                slots: (busy * between(&mut random, [2.0, 2.4])).ceil().max(2.0) as usize,
-                max_open: (full * share * between(&mut random, [6.4, 12.0])).ceil().max(16.0) as usize,
+                slots: (busy * uniform(&mut random, [2.0, 2.4])).ceil().max(2.0) as usize,
+                max_open: (full * share * uniform(&mut random, [6.4, 12.0])).ceil().max(16.0) as usize,
             }
         })
         .collect()
 }
 
-/// An event with those that it strikes.
-struct Struck<'a> {
+/// An event with the numbers of the destinations or senders that it strikes.
+struct DrawnEvent<'a> {
     event: &'a Event,
     kind: EventKind,
     at: Ns,
@@ -380,32 +386,38 @@
     numbers: Vec<u32>,
 }
 
-fn strike<'a>(spec: &'a Spec, seed: Seed, dests: &[Destination], senders: &[Sender]) -> Vec<Struck<'a>> {
+/// Draws which destinations or senders each event strikes.
+fn draw_events<'a>(
+    spec: &'a Spec,
+    seed: Seed,
+    dests: &[Destination],
+    senders: &[Sender],
+) -> Vec<DrawnEvent<'a>> {
     let one = |(i, event): (usize, &'a Event)| {
         let kind = *event.kind.get_ref();
         let weights: Vec<f64> = match kind {
             _ if kind.strikes_discovery() => Vec::new(),
-            // The part is a share of the senders, whatever traffic they have.
+            // `part` is a share of the number of senders, whatever their traffic.
             _ if kind.strikes_senders() => vec![1.0 / senders.len() as f64; senders.len()],
             _ => dests.iter().map(|d| d.share).collect(),
         };
         let at = from_seconds(event.at);
         let numbers = match event.part {
-            Some(part) => draw_part(&mut seed.stream("struck", i as u64), weights, part),
+            Some(part) => draw_targets(&mut seed.stream("struck", i as u64), weights, part),
             None => event.which.clone(),
         };
-        Struck { event, kind, at, until: at + from_seconds(event.duration_s), numbers }
+        DrawnEvent { event, kind, at, until: at + from_seconds(event.duration_s), numbers }
     };
     spec.event.iter().enumerate().map(one).collect()
 }
 
-/// Numbers drawn by weight until they make up at least `part` of the whole.
-fn draw_part(random: &mut impl Rng, mut weights: Vec<f64>, part: f64) -> Vec<u32> {
+/// Draws numbers by weight until their weights add up to at least `part`.
+fn draw_targets(random: &mut impl Rng, mut weights: Vec<f64>, part: f64) -> Vec<u32> {
     let whole: f64 = weights.iter().sum();
     let (mut sum, mut numbers) = (0.0, Vec::new());
     // A hair less, as shares don't add up exactly.
     while sum < (part - 1e-9) * whole && numbers.len() < weights.len() {
-        let next = pick(random, &weights);
+        let next = pick_weighted(random, &weights);
         sum += std::mem::take(&mut weights[next]);
         numbers.push(next as u32);
     }
@@ -414,9 +426,10 @@
     numbers
 }
 
-fn schedule(struck: &[Struck], dests: &[Destination], endpoints: &mut Vec<Endpoint>) -> Vec<Step> {
+/// Returns the steps of all events in the order of their times, and adds the endpoints that replace others.
+fn schedule(events: &[DrawnEvent], dests: &[Destination], endpoints: &mut Vec<Endpoint>) -> Vec<Step> {
     let mut steps = Vec::new();
-    for s in struck {
+    for s in events {
         let mut step = |at: Ns, action: StepAction| steps.push(Step { at, action });
         if s.kind.strikes_discovery() {
             let size = s.event.size.unwrap_or(1.0);
@@ -443,9 +456,8 @@
                 }
                 EventKind::Terminate => {
                     step(s.at, StepAction::Terminate { sender: number });
-                    // SIGKILL comes no sooner than 3.7 s after SIGTERM (PROTOCOL, Figures).
-                    step(s.at + 3_700 * MS, StepAction::Kill { sender: number });
-                    let at = s.until + 3_700 * MS;
+                    step(s.at + KILL_DELAY, StepAction::Kill { sender: number });
+                    let at = s.until + KILL_DELAY;
                     step(at, StepAction::Start { sender: number, folder: s.event.folder });
                 }
                 EventKind::Pause => {
@@ -459,10 +471,10 @@
                     let name = format!("{}-b", template.name);
                     endpoints.push(Endpoint { name, listed: false, ..template });
                     step(s.at, StepAction::Drain { endpoint: old });
-                    step(s.at + DRAIN, StepAction::Remove { endpoint: old });
-                    step(s.until.max(s.at + DRAIN), StepAction::Add { endpoint: new });
+                    step(s.at + DRAIN_SPAN, StepAction::Remove { endpoint: old });
+                    step(s.until.max(s.at + DRAIN_SPAN), StepAction::Add { endpoint: new });
                 }
-                // Hot ones only change the arrivals.
+                // These only change the arrivals.
                 EventKind::HotDestination | EventKind::HotSender => {}
                 kind => {
                     let size = s.event.size.unwrap_or(1.0);
@@ -476,26 +488,28 @@
     steps
 }
 
-/// How much traffic there is at a time, as a multiple of the mean: a wave of 20 s.
-fn wave(spec: &Spec, at: Ns) -> f64 {
+/// Returns the traffic at a time as a multiple of its mean: a sine wave with a period of 20 s.
+fn rate_factor(spec: &Spec, at: Ns) -> f64 {
     1.0 + spec.traffic.swing * (at as f64 / (20 * SECOND) as f64 * std::f64::consts::TAU).sin()
 }
 
+/// Draws the arrivals: a Poisson process with a changing rate, and clumps.
 fn arrivals(
     spec: &Spec,
     seed: Seed,
     dests: &[Destination],
     senders: &[Sender],
-    struck: &[Struck],
+    events: &[DrawnEvent],
     classes: &[Class],
 ) -> Vec<Arrival> {
     let end = from_seconds(spec.seconds);
     let traffic = &spec.traffic;
     let mut random = seed.stream("arrivals", 0);
-    let mut draw = Draw::new(seed, spec, dests, senders, struck, classes);
+    let mut sampler = MessageSampler::new(seed, spec, dests, senders, events, classes);
     let mut all = Vec::new();
-    // Thinned from the highest rate that it can have: Poisson, with a rate that changes.
-    let top = traffic.rate * (1.0 - traffic.clumps) * (1.0 + traffic.swing) * (1.0 + draw.hottest());
+    // Draws a Poisson process of the highest rate and thins it to the current rate.
+    let top =
+        traffic.rate * (1.0 - traffic.clumps) * (1.0 + traffic.swing) * (1.0 + sampler.max_extra_traffic());
     let gap = Exp::new(top / SECOND as f64).expect("a positive rate");
     let mut at = 0.0;
     loop {
@@ -504,9 +518,12 @@
         if now >= end {
             break;
         }
-        let rate = traffic.rate * (1.0 - traffic.clumps) * wave(spec, now) * (1.0 + draw.hot(now));
+        let rate = traffic.rate
+            * (1.0 - traffic.clumps)
+            * rate_factor(spec, now)
+            * (1.0 + sampler.extra_traffic(now));
         if random.random::<f64>() * top < rate {
-            all.push(draw.message(now, None));
+            all.push(sampler.message(now, None));
         }
     }
     let clumped = (traffic.rate * traffic.clumps * spec.seconds) as usize;
@@ -514,13 +531,13 @@
     let mut sent = 0;
     while sent < clumped {
         let shares: Vec<f64> = dests.iter().map(|d| d.share).collect();
-        let dest = pick(&mut random, &shares);
-        let size = (dests[dest].per_s * between(&mut random, traffic.clump_s)).ceil() as usize;
+        let dest = pick_weighted(&mut random, &shares);
+        let size = (dests[dest].per_s * uniform(&mut random, traffic.clump_s)).ceil() as usize;
         let from = (random.random::<f64>() * end as f64) as Ns;
         for _ in 0..size.min(clumped - sent) {
-            // Half a second for all of it.
+            // A clump arrives within half a second.
             let at = from + (random.random::<f64>() * 0.5 * SECOND as f64) as Ns;
-            all.push(draw.message(at.min(end - 1), Some(dest)));
+            all.push(sampler.message(at.min(end - 1), Some(dest)));
         }
         sent += size;
     }
@@ -528,39 +545,40 @@
     all
 }
 
-/// Draws single messages.
-struct Draw<'a> {
+/// Draws sender, destination, class and size of single messages.
+struct MessageSampler<'a> {
     random: rand_chacha::ChaCha8Rng,
     dests: &'a [Destination],
-    struck: &'a [Struck<'a>],
+    events: &'a [DrawnEvent<'a>],
     classes: &'a [Class],
     booking: f64,
     dest_weights: Vec<f64>,
     flagship_weights: Vec<f64>,
     sender_weights: Vec<f64>,
-    /// Work of each class, as a multiple of its mean (5.1: exponential; 5.2: lognormal).
+    /// Distributions of a message's work as a multiple of its class's mean: `rate-push` exponential,
+    /// `booking` lognormal (brief, sections 5.1 and 5.2).
     spread: (Exp<f64>, LogNormal<f64>),
 }
 
-impl<'a> Draw<'a> {
+impl<'a> MessageSampler<'a> {
     fn new(
         seed: Seed,
         spec: &Spec,
         dests: &'a [Destination],
         senders: &[Sender],
-        struck: &'a [Struck<'a>],
+        events: &'a [DrawnEvent<'a>],
         classes: &'a [Class],
-    ) -> Draw<'a> {
+    ) -> MessageSampler<'a> {
         let zipf = |i: usize| (i as f64 + 1.0).powf(-spec.traffic.zipf);
         let flagship = |(i, d): (usize, &Destination)| if d.flagship { zipf(i) } else { 0.0 };
         let exp = Exp::new(1.0).expect("a positive rate");
-        // Mean 1 and a coefficient of variation of 0.9.
-        let deviation = (1.0 + 0.9f64 * 0.9).ln();
-        let lognormal = LogNormal::new(-deviation / 2.0, deviation.sqrt()).expect("a finite deviation");
-        Draw {
+        // A mean of 1 and a coefficient of variation of 0.9.
+        let variance = (1.0 + 0.9f64 * 0.9).ln();
+        let lognormal = LogNormal::new(-variance / 2.0, variance.sqrt()).expect("a finite deviation");
+        MessageSampler {
             random: seed.stream("messages", 0),
             dests,
-            struck,
+            events,
             classes,
             booking: spec.traffic.booking,
             dest_weights: (0..dests.len()).map(zipf).collect(),
@@ -570,41 +588,46 @@
         }
     }
 
-    fn hot_ones(&self, at: Ns) -> impl Iterator<Item = &Struck<'a>> + use<'_, 'a> {
-        let hot = |s: &&Struck| matches!(s.kind, EventKind::HotDestination | EventKind::HotSender);
-        self.struck.iter().filter(hot).filter(move |s| (s.at..s.until).contains(&at))
+    /// Returns the events that add traffic at a time.
+    fn active_hot_events(&self, at: Ns) -> impl Iterator<Item = &DrawnEvent<'a>> + use<'_, 'a> {
+        let hot = |s: &&DrawnEvent| matches!(s.kind, EventKind::HotDestination | EventKind::HotSender);
+        self.events.iter().filter(hot).filter(move |s| (s.at..s.until).contains(&at))
     }
 
-    /// Further traffic at a time, as a share of the usual.
-    fn hot(&self, at: Ns) -> f64 {
-        self.hot_ones(at).filter_map(|s| s.event.size).map(|size| size / (1.0 - size)).sum()
+    /// Returns the added traffic at a time, as a multiple of the usual traffic.
+    fn extra_traffic(&self, at: Ns) -> f64 {
+        self.active_hot_events(at).filter_map(|s| s.event.size).map(|size| size / (1.0 - size)).sum()
     }
 
-    fn hottest(&self) -> f64 {
-        let size = |s: &Struck| s.event.size.map_or(0.0, |size| size / (1.0 - size));
-        self.struck
+    /// Returns a bound on `extra_traffic`: that with all events at once.
+    fn max_extra_traffic(&self) -> f64 {
+        let size = |s: &DrawnEvent| s.event.size.map_or(0.0, |size| size / (1.0 - size));
+        self.events
             .iter()
             .filter(|s| matches!(s.kind, EventKind::HotDestination | EventKind::HotSender))
             .map(size)
             .sum()
     }
 
+    /// Draws a message that arrives at a time, for `dest` if that is given.
     fn message(&mut self, at: Ns, dest: Option<usize>) -> Arrival {
-        let hot = self.hot(at);
+        let hot = self.extra_traffic(at);
         let mut sender = None;
         let mut hot_dest = None;
         if self.random.random::<f64>() * (1.0 + hot) < hot {
-            let ones: Vec<(EventKind, f64, Vec<u32>)> =
-                self.hot_ones(at).map(|s| (s.kind, s.event.size.unwrap_or(0.0), s.numbers.clone())).collect();
+            let ones: Vec<(EventKind, f64, Vec<u32>)> = self
+                .active_hot_events(at)
+                .map(|s| (s.kind, s.event.size.unwrap_or(0.0), s.numbers.clone()))
+                .collect();
             let weights: Vec<f64> = ones.iter().map(|o| o.1 / (1.0 - o.1)).collect();
-            let (kind, _, numbers) = &ones[pick(&mut self.random, &weights)];
+            let (kind, _, numbers) = &ones[pick_weighted(&mut self.random, &weights)];
             let number = numbers[self.random.random_range(0..numbers.len())] as usize;
             match kind {
                 EventKind::HotSender => sender = Some(number),
                 _ => hot_dest = Some(number),
             }
         }
-        let sender = sender.unwrap_or_else(|| pick(&mut self.random, &self.sender_weights));
+        let sender = sender.unwrap_or_else(|| pick_weighted(&mut self.random, &self.sender_weights));
         let bookable = |d: usize| self.dests[d].flagship;
         let class = match dest.or(hot_dest) {
             Some(d) if !bookable(d) => RATE_PUSH,
@@ -613,7 +636,7 @@
         };
         let dest = dest.or(hot_dest).unwrap_or_else(|| {
             let weights = if class == BOOKING { &self.flagship_weights } else { &self.dest_weights };
-            pick(&mut self.random, weights)
+            pick_weighted(&mut self.random, weights)
         });
         let spread = match class {
             BOOKING => self.spread.1.sample(&mut self.random),
@@ -640,21 +663,22 @@
     }
 
     #[test]
-    fn a_seed_draws_one_plan_and_another_seed_another() {
+    fn same_seed_draws_same_plan() {
         let spec = Spec::default();
         assert_eq!(Plan::draw(&spec, Seed(5)), Plan::draw(&spec, Seed(5)));
         assert_ne!(Plan::draw(&spec, Seed(5)).arrivals, Plan::draw(&spec, Seed(6)).arrivals);
     }
 
     #[test]
-    fn arrivals_have_the_rate_the_shares_and_the_classes_asked_for() {
+    fn arrivals_have_configured_rate_shares_and_classes() {
         let spec = spec("seconds = 400\n[traffic]\nrate = 50.0");
         let plan = Plan::draw(&spec, Seed(1));
         let count = plan.arrivals.len() as f64;
         assert!((count / 20_000.0 - 1.0).abs() < 0.05, "{count} of 20000");
         let bookings = plan.arrivals.iter().filter(|a| a.class == BOOKING);
         assert!(bookings.clone().all(|a| plan.destinations[a.dest as usize].flagship));
-        // Clumps for a destination that takes no bookings hold none.
+        // Clumps for a destination that is no flagship contain no bookings, so their share is below
+        // `traffic.booking`.
         assert!((0.33..0.41).contains(&(bookings.count() as f64 / count)));
         let to_first = plan.arrivals.iter().filter(|a| a.dest == 0).count() as f64 / count;
         let share = plan.destinations[0].share;
@@ -663,7 +687,7 @@
     }
 
     #[test]
-    fn a_hot_destination_draws_its_further_share_while_it_is_hot() {
+    fn hot_destination_gets_added_share_during_event() {
         let hot = "seconds = 200\n[[event]]\nwhat = 'hot-destination'\nat = 100\nfor = 100\nwhich = [7]\nsize = 0.4";
         let plan = Plan::draw(&spec(hot), Seed(3));
         let share = |from: Ns, to: Ns| {
@@ -675,7 +699,7 @@
     }
 
     #[test]
-    fn events_strike_the_part_asked_for_and_end() {
+    fn events_strike_configured_part_and_end() {
         let text = "[[event]]\nwhat = 'shut'\nat = 5\nfor = 7\npart = 0.2\n[[event]]\nwhat = 'kill'\nat = 9\nfor = 1\npart = 0.5";
         let plan = Plan::draw(&spec(text), Seed(11));
         let begun = |s: &&Step| matches!(s.action, StepAction::Begin { .. });
--- a/crates/testbed/src/platform/destination.rs
+++ b/crates/testbed/src/platform/destination.rs
@@ -1,8 +1,8 @@
-//! One destination: its limit, and its endpoints with slots, queues, troubles and cold returns.
+//! One destination: its rate limit, and its endpoints with slots, queues, faults and cold starts.
 //!
-//! Calls come as [`Destination::arrive`]; what it answers and when comes out as [`Out`]. The caller keeps the time:
-//! it gives `finish` for a call at the time that `Out::Begin` named, and `gone` where the call's connection ends
-//! first.
+//! Calls are passed to [`Destination::arrive`], which returns what happens as [`Output`]s. The caller keeps
+//! the time: it calls `finish` at the time given by `Output::Begin`, or `abandon` if the call's connection
+//! ends before.
 use super::limit::Limit;
 use crate::clock::{from_seconds, Ns, MS, SECOND};
 use crate::plan;
@@ -12,186 +12,193 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
 
-/// A cold endpoint falls over when it is sent more than so many times what it can do (the brief, 1.2).
-pub const FALL_MULTIPLE: f64 = 2.5;
-/// For so long. Any window of that length counts, so a short heavy burst can spend it all.
-const FALL_WINDOW: Ns = 3 * SECOND;
-/// Calls by which chance alone may pass that bound.
-const FALL_SLACK: f64 = 3.0;
-/// How long an answer that needs no service takes.
-const QUICK: Ns = 3 * MS;
-/// An endpoint that drains refuses new calls from then on; until then it does them a favour.
+/// A cold endpoint fails when it is sent more calls than this multiple of its current capacity (brief,
+/// section 1.2).
+pub const OVERLOAD_MULTIPLE: f64 = 2.5;
+/// The calls are counted over this time. Any window of that length counts, so a short burst can exceed the
+/// bound.
+const OVERLOAD_WINDOW: Ns = 3 * SECOND;
+/// Calls allowed in addition to that bound, as chance alone may exceed it by a few.
+const OVERLOAD_SLACK_CALLS: f64 = 3.0;
+/// Service time of a call that ends with an error, and the shortest of any call.
+const QUICK_ANSWER: Ns = 3 * MS;
+/// How long a draining endpoint still serves new calls. After that it refuses them.
 const DRAIN_GRACE: Ns = 8 * SECOND;
+/// Share of the calls in service that take effect although their sender has closed the connection.
+const ABANDONED_EFFECT_SHARE: f64 = 0.5;
 
-/// The testbed's number for a call.
+/// Number that the testbed gives a call.
 pub type CallNumber = u64;
 
+/// A call that has been received completely.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub number: CallNumber,
-    /// Place of the endpoint among the destination's.
-    pub place: usize,
-    /// At an endpoint of usual pace.
+    /// Index of the endpoint among the destination's.
+    pub index: usize,
+    /// Service time at an endpoint with a work factor of 1.
     pub work: Ns,
 }
 
-/// Why a call was turned away.
+/// Why a call was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
+    /// The rate limit is used up.
     Limit,
+    /// All slots of the endpoint are in use, and its queue is full.
     Queue,
+    /// The destination refuses all calls for a time.
     Shut,
+    /// The endpoint has been draining for longer than its grace period.
     Draining,
+    /// The endpoint has as many connections as it accepts.
     Connections,
-    /// All slots of the sender were taken.
+    /// The sender has as many calls in flight as it has slots.
     Slots,
-    /// The message has had all its attempts.
+    /// The message has had the highest number of attempts.
     Attempts,
-    /// The message's time is up: nothing more is owed.
+    /// The message's deadline has passed.
     #[serde(rename = "over")]
     Expired,
-    /// No such message, or not here.
+    /// No client handed in the message, or not for this destination.
     #[serde(rename = "stray")]
     UnknownMessage,
 }
 
+/// How the destination answers a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
     Served,
     Error,
-    /// With the wait that is told, if any.
+    /// A refusal, with the value of `Retry-After` if the destination gives one.
     Refused(Refusal, Option<Ns>),
-    /// The connection breaks.
+    /// The connection is reset.
     Reset,
-    /// 200, with the rest of the answer unreadable.
+    /// 200, but the rest of the answer can't be parsed.
     Malformed,
-    /// Nothing comes, and the connection stays.
+    /// No answer, and the connection stays open.
     NoAnswer,
 }
 
+/// What happens to a call or an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Output {
-    /// The call is served from now on until that time.
-    Begin {
-        call: CallNumber,
-        until: Ns,
-    },
-    /// It takes effect now.
-    Effect {
-        call: CallNumber,
-    },
-    Answer {
-        call: CallNumber,
-        answer: Answer,
-    },
-    /// A cold endpoint was sent too much and is down for good.
-    OverloadFailure {
-        place: usize,
-    },
+    /// The call is in service from now until the given time.
+    Begin { call: CallNumber, until: Ns },
+    /// The call takes effect now.
+    Effect { call: CallNumber },
+    /// The call is answered now.
+    Answer { call: CallNumber, answer: Answer },
+    /// A cold endpoint was sent too many calls and is down for the rest of the play.
+    OverloadFailure { index: usize },
 }
 
-/// A call in service.
-struct Served {
+/// A call in service; `fails` if it will be answered with an error.
+struct ActiveCall {
     fails: bool,
 }
 
-/// A cold return under way.
-struct Cold {
+/// The warm-up of an endpoint after a cold start.
+struct Warmup {
     since: Ns,
-    /// What came in the last `FALL_WINDOW`.
-    sent: VecDeque<Ns>,
+    /// Times of the calls received within the last `OVERLOAD_WINDOW`.
+    recent_calls: VecDeque<Ns>,
 }
 
-struct Place {
+/// One endpoint of the destination.
+struct EndpointState {
     slots: usize,
-    room: usize,
-    serving: HashMap<CallNumber, Served>,
+    queue_capacity: usize,
+    serving: HashMap<CallNumber, ActiveCall>,
     waiting: VecDeque<Call>,
-    cold: Option<Cold>,
+    warmup: Option<Warmup>,
     drains_since: Option<Ns>,
-    fallen: bool,
+    failed: bool,
 }
 
+/// A destination with its endpoints.
 pub struct Destination {
     limit: Limit,
-    tells: f64,
-    wait: Ns,
-    pace: f64,
+    retry_after_share: f64,
+    min_retry_after: Ns,
+    work_factor: f64,
     error_rate: f64,
     cold_from: f64,
-    cold_for: Ns,
-    /// Calls a second that an endpoint can do when it is warm.
-    capacity: f64,
-    places: Vec<Place>,
-    /// Sizes of the troubles under way, and when a shut destination opens.
-    troubles: HashMap<EventKind, f64>,
-    opens: Ns,
+    warmup_span: Ns,
+    /// Calls a second that a warm endpoint can serve.
+    capacity_per_s: f64,
+    endpoints: Vec<EndpointState>,
+    /// Sizes of the current faults.
+    faults: HashMap<EventKind, f64>,
+    /// When a shut destination accepts calls again.
+    reopens_at: Ns,
     random: ChaCha8Rng,
 }
 
 impl Destination {
+    /// Creates the destination of a plan, with its endpoints in the order of their indices.
     pub fn new(
         drawn: &plan::Destination,
         endpoints: &[plan::Endpoint],
         platform: &Platform,
         random: ChaCha8Rng,
     ) -> Destination {
-        let place = |e: &plan::Endpoint| Place {
+        let state = |e: &plan::Endpoint| EndpointState {
             slots: e.slots,
-            room: e.queue,
+            queue_capacity: e.queue,
             serving: HashMap::new(),
             waiting: VecDeque::new(),
-            cold: None,
+            warmup: None,
             drains_since: None,
-            fallen: false,
+            failed: false,
         };
-        let work = if drawn.flagship { 245.0 } else { 160.0 } / 1_000.0 * drawn.pace;
+        let work = if drawn.flagship { 245.0 } else { 160.0 } / 1_000.0 * drawn.work_factor;
         let slots = endpoints.first().map_or(1, |e| e.slots);
         Destination {
-            limit: Limit::new(drawn.form, drawn.per_s, drawn.counts_refused),
-            tells: drawn.tells,
-            wait: drawn.wait,
-            pace: drawn.pace,
+            limit: Limit::new(drawn.limit_kind, drawn.per_s, drawn.counts_refused),
+            retry_after_share: drawn.retry_after_share,
+            min_retry_after: drawn.min_retry_after,
+            work_factor: drawn.work_factor,
             error_rate: platform.error_rate,
             cold_from: platform.cold_from,
-            cold_for: from_seconds(platform.cold_s),
-            capacity: slots as f64 / work,
-            places: endpoints.iter().map(place).collect(),
-            troubles: HashMap::new(),
-            opens: 0,
+            warmup_span: from_seconds(platform.cold_s),
+            capacity_per_s: slots as f64 / work,
+            endpoints: endpoints.iter().map(state).collect(),
+            faults: HashMap::new(),
+            reopens_at: 0,
             random,
         }
     }
 
-    /// A trouble begins. Returns what becomes of the calls that it ends.
-    pub fn begin(&mut self, now: Ns, kind: EventKind, size: f64, until: Ns) -> Vec<Output> {
-        self.troubles.insert(kind, size);
-        let mut outs = Vec::new();
+    /// Begins a fault and returns the answers of the calls that it ends.
+    pub fn begin_fault(&mut self, now: Ns, kind: EventKind, size: f64, until: Ns) -> Vec<Output> {
+        self.faults.insert(kind, size);
+        let mut outputs = Vec::new();
         match kind {
             EventKind::Limit => self.limit.scale(now, size),
-            EventKind::Shut => self.opens = until,
+            EventKind::Shut => self.reopens_at = until,
             EventKind::Down | EventKind::Silent => {
                 let answer = if kind == EventKind::Down { Answer::Reset } else { Answer::NoAnswer };
-                for place in &mut self.places {
-                    let calls = place.serving.drain().map(|(number, _)| number);
-                    let calls = calls.chain(place.waiting.drain(..).map(|c| c.number));
-                    outs.extend(calls.map(|call| Output::Answer { call, answer }));
+                for endpoint in &mut self.endpoints {
+                    let calls = endpoint.serving.drain().map(|(number, _)| number);
+                    let calls = calls.chain(endpoint.waiting.drain(..).map(|c| c.number));
+                    outputs.extend(calls.map(|call| Output::Answer { call, answer }));
                 }
-                // The table's order is no seed's.
-                outs.sort_by_key(|out| match out {
+                // The iteration order of the map is not deterministic.
+                outputs.sort_by_key(|output| match output {
                     Output::Answer { call, .. } => *call,
                     _ => 0,
                 });
             }
             _ => {}
         }
-        outs
+        outputs
     }
 
-    /// A trouble ends. After an outage all endpoints are cold (the brief, 6.6).
-    pub fn end(&mut self, now: Ns, kind: EventKind) {
-        let size = self.troubles.remove(&kind);
+    /// Ends a fault. After an outage all endpoints are cold (brief, section 6.6).
+    pub fn end_fault(&mut self, now: Ns, kind: EventKind) {
+        let size = self.faults.remove(&kind);
         let outage = match kind {
             EventKind::Down | EventKind::Silent | EventKind::Shut => true,
             EventKind::Failing => size.is_some_and(|share| share > 0.5),
@@ -201,167 +208,183 @@
             self.limit.scale(now, 1.0);
         }
         if outage {
-            for place in &mut self.places {
-                place.cold = Some(Cold { since: now, sent: VecDeque::new() });
+            for endpoint in &mut self.endpoints {
+                endpoint.warmup = Some(Warmup { since: now, recent_calls: VecDeque::new() });
             }
         }
     }
 
-    pub fn drain(&mut self, now: Ns, place: usize) {
-        self.places[place].drains_since = Some(now);
+    /// Lets an endpoint drain.
+    pub fn drain(&mut self, now: Ns, index: usize) {
+        self.endpoints[index].drains_since = Some(now);
     }
 
-    /// The process at a place is up for the first time, and cold.
-    pub fn fresh(&mut self, now: Ns, place: usize) {
-        self.places[place].cold = Some(Cold { since: now, sent: VecDeque::new() });
+    /// Starts an endpoint for the first time; it is cold.
+    pub fn start_cold(&mut self, now: Ns, index: usize) {
+        self.endpoints[index].warmup = Some(Warmup { since: now, recent_calls: VecDeque::new() });
     }
 
-    /// Refuses connections at that place.
-    pub fn is_down(&self, place: usize) -> bool {
-        self.troubles.contains_key(&EventKind::Down) || self.places[place].fallen
+    /// Returns true if the endpoint refuses connections.
+    pub fn is_down(&self, index: usize) -> bool {
+        self.faults.contains_key(&EventKind::Down) || self.endpoints[index].failed
     }
 
+    /// Returns true if the destination neither answers nor accepts connections.
     pub fn is_silent(&self) -> bool {
-        self.troubles.contains_key(&EventKind::Silent)
+        self.faults.contains_key(&EventKind::Silent)
     }
 
-    fn chance(&mut self, share: f64) -> bool {
+    /// Returns true with the given probability. A share of 0 draws no random number.
+    fn draw(&mut self, share: f64) -> bool {
         share > 0.0 && self.random.random::<f64>() < share
     }
 
-    fn size(&self, kind: EventKind) -> f64 {
-        self.troubles.get(&kind).copied().unwrap_or(0.0)
+    /// Returns the size of a fault, or 0 if there is none.
+    fn fault_size(&self, kind: EventKind) -> f64 {
+        self.faults.get(&kind).copied().unwrap_or(0.0)
     }
 
-    /// Share of its full capacity that an endpoint has at a time.
-    fn warmth(&self, now: Ns, place: usize) -> f64 {
-        let Some(cold) = &self.places[place].cold else { return 1.0 };
-        let ramp = (now - cold.since) as f64 / self.cold_for.max(1) as f64;
+    /// Returns the share of its full capacity that an endpoint has at a time.
+    fn capacity_share(&self, now: Ns, index: usize) -> f64 {
+        let Some(warmup) = &self.endpoints[index].warmup else { return 1.0 };
+        let ramp = (now - warmup.since) as f64 / self.warmup_span.max(1) as f64;
         (self.cold_from + (1.0 - self.cold_from) * ramp).min(1.0)
     }
 
-    /// Counts what comes to a cold endpoint, refused calls too. True when it falls over.
-    fn falls(&mut self, now: Ns, place: usize) -> bool {
-        let warmth = self.warmth(now, place);
-        let bound = FALL_MULTIPLE * warmth * self.capacity * (FALL_WINDOW / SECOND) as f64 + FALL_SLACK;
-        let Some(cold) = &mut self.places[place].cold else { return false };
-        if warmth >= 1.0 {
-            self.places[place].cold = None;
+    /// Counts a call to a cold endpoint, also if it is refused. Returns true if the endpoint fails under it.
+    fn fails_by_overload(&mut self, now: Ns, index: usize) -> bool {
+        let capacity_share = self.capacity_share(now, index);
+        let bound =
+            OVERLOAD_MULTIPLE * capacity_share * self.capacity_per_s * (OVERLOAD_WINDOW / SECOND) as f64
+                + OVERLOAD_SLACK_CALLS;
+        let Some(warmup) = &mut self.endpoints[index].warmup else { return false };
+        if capacity_share >= 1.0 {
+            self.endpoints[index].warmup = None;
             return false;
         }
-        cold.sent.push_back(now);
-        while cold.sent.front().is_some_and(|at| *at <= now - FALL_WINDOW) {
-            cold.sent.pop_front();
+        warmup.recent_calls.push_back(now);
+        while warmup.recent_calls.front().is_some_and(|at| *at <= now - OVERLOAD_WINDOW) {
+            warmup.recent_calls.pop_front();
         }
-        cold.sent.len() as f64 > bound
+        warmup.recent_calls.len() as f64 > bound
     }
 
-    /// A probe has come, which counts as a call. Whether the endpoint would serve.
+    /// Takes a probe, which counts as a call against the limit. Returns true if the endpoint would serve a
+    /// call.
     pub fn probe(&mut self, now: Ns) -> bool {
-        self.limit.take(now).is_ok() && !self.troubles.contains_key(&EventKind::Shut)
+        self.limit.take(now).is_ok() && !self.faults.contains_key(&EventKind::Shut)
     }
 
-    /// A call has come whole.
+    /// Takes a call that has been received completely.
     pub fn arrive(&mut self, now: Ns, call: Call) -> Vec<Output> {
         let number = call.number;
-        let place = call.place;
-        let told = |answer| vec![Output::Answer { call: number, answer }];
+        let index = call.index;
+        let answered = |answer| vec![Output::Answer { call: number, answer }];
         if self.is_silent() {
-            return told(Answer::NoAnswer);
+            return answered(Answer::NoAnswer);
         }
-        if self.is_down(place) {
-            return told(Answer::Reset);
+        if self.is_down(index) {
+            return answered(Answer::Reset);
         }
-        if self.falls(now, place) {
-            let fallen = &mut self.places[place];
-            fallen.fallen = true;
-            let mut calls: Vec<_> = fallen.serving.drain().map(|(n, _)| n).collect();
-            calls.extend(fallen.waiting.drain(..).map(|c| c.number));
+        if self.fails_by_overload(now, index) {
+            let overloaded = &mut self.endpoints[index];
+            overloaded.failed = true;
+            let mut calls: Vec<_> = overloaded.serving.drain().map(|(n, _)| n).collect();
+            calls.extend(overloaded.waiting.drain(..).map(|c| c.number));
             calls.push(number);
             calls.sort_unstable();
             let ends = calls.into_iter().map(|call| Output::Answer { call, answer: Answer::Reset });
-            return std::iter::once(Output::OverloadFailure { place }).chain(ends).collect();
+            return std::iter::once(Output::OverloadFailure { index }).chain(ends).collect();
         }
-        if self.troubles.contains_key(&EventKind::Shut) {
-            let wait = self.chance(self.tells).then_some(self.opens - now);
-            return told(Answer::Refused(Refusal::Shut, wait.filter(|w| *w > 0)));
+        if self.faults.contains_key(&EventKind::Shut) {
+            let wait = self.draw(self.retry_after_share).then_some(self.reopens_at - now);
+            return answered(Answer::Refused(Refusal::Shut, wait.filter(|w| *w > 0)));
         }
-        if self.places[place].drains_since.is_some_and(|since| now - since > DRAIN_GRACE) {
-            return told(Answer::Refused(Refusal::Draining, None));
+        if self.endpoints[index].drains_since.is_some_and(|since| now - since > DRAIN_GRACE) {
+            return answered(Answer::Refused(Refusal::Draining, None));
         }
         if let Err(room) = self.limit.take(now) {
-            // The wait is honest: at its end there is room, unless others have taken it.
-            let wait = self.chance(self.tells).then_some(room.max(self.wait));
-            return told(Answer::Refused(Refusal::Limit, wait));
+            // After the wait there is room, unless other calls have taken it.
+            let wait = self.draw(self.retry_after_share).then_some(room.max(self.min_retry_after));
+            return answered(Answer::Refused(Refusal::Limit, wait));
         }
-        let failing = self.size(EventKind::Failing);
-        if self.chance(failing) {
-            return told(Answer::Error);
+        let failing = self.fault_size(EventKind::Failing);
+        if self.draw(failing) {
+            return answered(Answer::Error);
         }
-        if self.places[place].serving.len() < self.places[place].slots {
+        if self.endpoints[index].serving.len() < self.endpoints[index].slots {
             return vec![self.serve(now, &call)];
         }
-        let at = &mut self.places[place];
-        if at.waiting.len() >= at.room {
-            return told(Answer::Refused(Refusal::Queue, None));
+        let endpoint = &mut self.endpoints[index];
+        if endpoint.waiting.len() >= endpoint.queue_capacity {
+            return answered(Answer::Refused(Refusal::Queue, None));
         }
-        at.waiting.push_back(call);
+        endpoint.waiting.push_back(call);
         Vec::new()
     }
 
+    /// Puts a call into service and draws how long that takes.
     fn serve(&mut self, now: Ns, call: &Call) -> Output {
-        let fails = self.chance(self.error_rate);
-        let slow = self.size(EventKind::Slow).max(1.0);
+        let fails = self.draw(self.error_rate);
+        let slow = self.fault_size(EventKind::Slow).max(1.0);
         let noise = self.random.random_range(0.8..1.25);
-        let work = call.work as f64 * self.pace * slow * noise / self.warmth(now, call.place);
-        self.places[call.place].serving.insert(call.number, Served { fails });
-        Output::Begin { call: call.number, until: now + if fails { QUICK } else { (work as Ns).max(QUICK) } }
+        let work = call.work as f64 * self.work_factor * slow * noise / self.capacity_share(now, call.index);
+        self.endpoints[call.index].serving.insert(call.number, ActiveCall { fails });
+        Output::Begin {
+            call: call.number,
+            until: now + if fails { QUICK_ANSWER } else { (work as Ns).max(QUICK_ANSWER) },
+        }
     }
 
-    /// A call has been served for as long as it took.
-    pub fn finish(&mut self, now: Ns, place: usize, call: CallNumber) -> Vec<Output> {
-        let Some(served) = self.places[place].serving.remove(&call) else { return Vec::new() };
-        let mut outs = Vec::new();
+    /// Ends the service of a call, at the time given by `Output::Begin`.
+    pub fn finish(&mut self, now: Ns, index: usize, call: CallNumber) -> Vec<Output> {
+        let Some(served) = self.endpoints[index].serving.remove(&call) else { return Vec::new() };
+        let mut outputs = Vec::new();
         if served.fails {
-            outs.push(Output::Answer { call, answer: Answer::Error });
+            outputs.push(Output::Answer { call, answer: Answer::Error });
         } else {
-            outs.push(Output::Effect { call });
-            let (lost, reset, spoilt) =
-                (self.size(EventKind::LoseAnswers), self.size(EventKind::Reset), self.size(EventKind::Spoil));
-            let answer = if self.chance(lost) {
+            outputs.push(Output::Effect { call });
+            let (lost, reset, malformed) = (
+                self.fault_size(EventKind::LoseAnswers),
+                self.fault_size(EventKind::Reset),
+                self.fault_size(EventKind::Spoil),
+            );
+            let answer = if self.draw(lost) {
                 Answer::NoAnswer
-            } else if self.chance(reset) {
+            } else if self.draw(reset) {
                 Answer::Reset
-            } else if self.chance(spoilt) {
+            } else if self.draw(malformed) {
                 Answer::Malformed
             } else {
                 Answer::Served
             };
-            outs.push(Output::Answer { call, answer });
+            outputs.push(Output::Answer { call, answer });
         }
-        outs.extend(self.next(now, place));
-        outs
+        outputs.extend(self.start_waiting(now, index));
+        outputs
     }
 
-    /// A call's connection has ended before its answer: its slot is free, and its work may run on.
-    pub fn gone(&mut self, now: Ns, place: usize, call: CallNumber) -> Vec<Output> {
-        let at = &mut self.places[place];
-        at.waiting.retain(|c| c.number != call);
-        let mut outs = Vec::new();
-        if at.serving.remove(&call).is_some_and(|s| !s.fails) && self.chance(0.5) {
-            outs.push(Output::Effect { call });
+    /// Takes the end of a call's connection before its answer. Its slot is free, but it may still take
+    /// effect.
+    pub fn abandon(&mut self, now: Ns, index: usize, call: CallNumber) -> Vec<Output> {
+        let endpoint = &mut self.endpoints[index];
+        endpoint.waiting.retain(|c| c.number != call);
+        let mut outputs = Vec::new();
+        if endpoint.serving.remove(&call).is_some_and(|s| !s.fails) && self.draw(ABANDONED_EFFECT_SHARE) {
+            outputs.push(Output::Effect { call });
         }
-        outs.extend(self.next(now, place));
-        outs
+        outputs.extend(self.start_waiting(now, index));
+        outputs
     }
 
-    fn next(&mut self, now: Ns, place: usize) -> Vec<Output> {
-        let mut outs = Vec::new();
-        while self.places[place].serving.len() < self.places[place].slots {
-            let Some(call) = self.places[place].waiting.pop_front() else { break };
-            outs.push(self.serve(now, &call));
+    /// Puts queued calls into service while there are free slots.
+    fn start_waiting(&mut self, now: Ns, index: usize) -> Vec<Output> {
+        let mut outputs = Vec::new();
+        while self.endpoints[index].serving.len() < self.endpoints[index].slots {
+            let Some(call) = self.endpoints[index].waiting.pop_front() else { break };
+            outputs.push(self.serve(now, &call));
         }
-        outs
+        outputs
     }
 }
 
@@ -371,18 +394,19 @@
     use crate::platform::limit::LimitKind;
     use crate::seed::Seed;
 
-    const ROOMY: f64 = 1e6;
+    /// A rate limit, in calls a second, that no test reaches.
+    const NO_LIMIT_PER_S: f64 = 1e6;
 
     fn destination(per_s: f64, slots: usize) -> Destination {
         let drawn = plan::Destination {
             flagship: false,
             share: 1.0,
-            form: LimitKind::Window,
+            limit_kind: LimitKind::Window,
             per_s,
             counts_refused: false,
-            tells: 1.0,
-            wait: 0,
-            pace: 1.0,
+            retry_after_share: 1.0,
+            min_retry_after: 0,
+            work_factor: 1.0,
             endpoints: vec![0],
         };
         let endpoint = plan::Endpoint {
@@ -399,43 +423,43 @@
     }
 
     fn call(number: CallNumber) -> Call {
-        Call { number, place: 0, work: 100 * MS }
+        Call { number, index: 0, work: 100 * MS }
     }
 
-    fn begun(outs: &[Output]) -> Option<(CallNumber, Ns)> {
-        outs.iter().find_map(|o| match o {
+    fn begun(outputs: &[Output]) -> Option<(CallNumber, Ns)> {
+        outputs.iter().find_map(|o| match o {
             Output::Begin { call, until } => Some((*call, *until)),
             _ => None,
         })
     }
 
     #[test]
-    fn calls_beyond_the_slots_wait_beyond_the_queue_are_refused_and_a_free_slot_takes_the_next() {
-        let mut d = destination(ROOMY, 1);
+    fn queues_calls_beyond_slots_and_refuses_beyond_queue() {
+        let mut d = destination(NO_LIMIT_PER_S, 1);
         let (first, until) = begun(&d.arrive(0, call(1))).expect("there is a slot");
         assert_eq!(d.arrive(0, call(2)), []);
         assert_eq!(d.arrive(0, call(3)), []);
         let full = Output::Answer { call: 4, answer: Answer::Refused(Refusal::Queue, None) };
         assert_eq!(d.arrive(0, call(4)), [full]);
-        let outs = d.finish(until, 0, first);
+        let outputs = d.finish(until, 0, first);
         assert_eq!(
-            outs[..2],
+            outputs[..2],
             [Output::Effect { call: 1 }, Output::Answer { call: 1, answer: Answer::Served }]
         );
-        assert_eq!(begun(&outs).map(|b| b.0), Some(2));
-        // The second's connection ends: the third takes its slot, and the second is never finished.
-        assert_eq!(begun(&d.gone(until, 0, 2)).map(|b| b.0), Some(3));
+        assert_eq!(begun(&outputs).map(|b| b.0), Some(2));
+        // The connection of call 2 ends: call 3 takes its slot, and call 2 is never finished.
+        assert_eq!(begun(&d.abandon(until, 0, 2)).map(|b| b.0), Some(3));
         assert_eq!(d.finish(until, 0, 2), []);
     }
 
     #[test]
-    fn a_shut_destination_tells_when_it_opens_and_returns_cold() {
-        let mut d = destination(ROOMY, 4);
+    fn shut_destination_gives_retry_after_and_returns_cold() {
+        let mut d = destination(NO_LIMIT_PER_S, 4);
         let warm = begun(&d.arrive(0, call(1))).unwrap().1;
-        d.begin(SECOND, EventKind::Shut, 1.0, 5 * SECOND);
+        d.begin_fault(SECOND, EventKind::Shut, 1.0, 5 * SECOND);
         let wait = Output::Answer { call: 2, answer: Answer::Refused(Refusal::Shut, Some(3 * SECOND)) };
         assert_eq!(d.arrive(2 * SECOND, call(2)), [wait]);
-        d.end(5 * SECOND, EventKind::Shut);
+        d.end_fault(5 * SECOND, EventKind::Shut);
         let cold = begun(&d.arrive(5 * SECOND, call(3))).unwrap().1 - 5 * SECOND;
         assert!(cold as f64 > 3.0 * warm as f64, "{cold} ns cold, {warm} ns warm");
         let later = 20 * SECOND;
@@ -443,54 +467,54 @@
     }
 
     #[test]
-    fn a_cold_endpoint_falls_over_when_sent_more_than_its_multiple_and_not_below_it() {
-        // Four slots of 160 ms are 25 calls a second, 4 of them at first: 30 in 3 s are its bound then, and 81 once
-        // it has been back for 3 s.
+    fn cold_endpoint_fails_only_above_overload_multiple() {
+        // Four slots of 160 ms serve 25 calls a second, or 4 a second at first. The bound is then 30 calls in
+        // 3 s, and 81 after 3 s of warm-up.
         for (every, falls) in [(100 * MS, false), (15 * MS, true)] {
-            let mut d = destination(ROOMY, 4);
-            d.begin(0, EventKind::Down, 1.0, SECOND);
-            d.end(SECOND, EventKind::Down);
+            let mut d = destination(NO_LIMIT_PER_S, 4);
+            d.begin_fault(0, EventKind::Down, 1.0, SECOND);
+            d.end_fault(SECOND, EventKind::Down);
             let mut fell = false;
             for i in 0..(9 * SECOND / every) {
                 let now = SECOND + i * every;
-                let outs = d.arrive(now, call(i as CallNumber));
-                fell |= outs.contains(&Output::OverloadFailure { place: 0 });
-                d.gone(now, 0, i as CallNumber);
+                let outputs = d.arrive(now, call(i as CallNumber));
+                fell |= outputs.contains(&Output::OverloadFailure { index: 0 });
+                d.abandon(now, 0, i as CallNumber);
             }
-            assert_eq!(fell, falls, "a call each {} ms", every / MS);
+            assert_eq!(fell, falls, "a call every {} ms", every / MS);
             assert_eq!(d.is_down(0), falls, "it stays down");
         }
     }
 
     #[test]
-    fn troubles_show_in_answers_and_end() {
+    fn faults_change_answers_until_they_end() {
         for (kind, answer) in [
             (EventKind::LoseAnswers, Answer::NoAnswer),
             (EventKind::Reset, Answer::Reset),
             (EventKind::Spoil, Answer::Malformed),
         ] {
-            let mut d = destination(ROOMY, 1);
-            d.begin(0, kind, 1.0, SECOND);
+            let mut d = destination(NO_LIMIT_PER_S, 1);
+            d.begin_fault(0, kind, 1.0, SECOND);
             let until = begun(&d.arrive(0, call(1))).unwrap().1;
             assert_eq!(
                 d.finish(until, 0, 1),
                 [Output::Effect { call: 1 }, Output::Answer { call: 1, answer }]
             );
-            d.end(SECOND, kind);
+            d.end_fault(SECOND, kind);
             let until = begun(&d.arrive(SECOND, call(2))).unwrap().1;
             assert_eq!(d.finish(until, 0, 2)[1], Output::Answer { call: 2, answer: Answer::Served });
         }
-        let mut d = destination(ROOMY, 1);
-        d.begin(0, EventKind::Failing, 1.0, SECOND);
+        let mut d = destination(NO_LIMIT_PER_S, 1);
+        d.begin_fault(0, EventKind::Failing, 1.0, SECOND);
         assert_eq!(d.arrive(0, call(1)), [Output::Answer { call: 1, answer: Answer::Error }]);
         let until = {
-            d.end(0, EventKind::Failing);
+            d.end_fault(0, EventKind::Failing);
             begun(&d.arrive(0, call(2))).unwrap().1
         };
         assert!(until > 0);
-        // What is in service when the process dies is reset, and nothing of it takes effect.
+        // A call in service when the process ends is reset and takes no effect.
         assert_eq!(
-            d.begin(1, EventKind::Down, 1.0, SECOND),
+            d.begin_fault(1, EventKind::Down, 1.0, SECOND),
             [Output::Answer { call: 2, answer: Answer::Reset }]
         );
         assert_eq!(d.finish(until, 0, 2), []);
--- a/crates/testbed/src/platform/list.rs
+++ b/crates/testbed/src/platform/list.rs
@@ -1,10 +1,11 @@
-//! The list of endpoints: its versions, and what a watch since a version is told.
+//! The list of endpoints with its generations, and the changes since a generation.
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Changes that are kept; a watch since an older version gets the whole list.
+/// Number of changes kept. A watch since an older generation gets the whole list.
 const HISTORY: usize = 1_024;
 
+/// Lifecycle of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Lifecycle {
     Ready,
@@ -13,6 +14,7 @@
 }
 
 impl Lifecycle {
+    /// Returns the name used on the wire.
     pub fn name(self) -> &'static str {
         match self {
             Lifecycle::Ready => "Ready",
@@ -22,29 +24,33 @@
     }
 }
 
+/// An endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub endpoint: u32,
     pub lifecycle: Lifecycle,
 }
 
+/// The answer to a request for the list.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ListUpdate {
     pub generation: u64,
-    /// The whole list (without what is gone) instead of changes.
+    /// `entries` is the whole list, without endpoints that are gone, instead of the changes.
     pub reset: bool,
     pub entries: Vec<Entry>,
 }
 
+/// The list of endpoints with its recent changes.
 pub struct EndpointList {
     generation: u64,
-    /// All that were ever listed, in the order of their first listing.
+    /// All endpoints ever listed, in the order of their first listing.
     entries: Vec<Entry>,
-    /// The last changes, each with its generation.
+    /// The last changes: generation and endpoint.
     history: VecDeque<(u64, u32)>,
 }
 
 impl EndpointList {
+    /// Creates the list at generation 1 with endpoints that are ready.
     pub fn new(listed: impl IntoIterator<Item = u32>) -> EndpointList {
         let ready = |endpoint| Entry { endpoint, lifecycle: Lifecycle::Ready };
         EndpointList {
@@ -58,6 +64,7 @@
         self.generation
     }
 
+    /// Sets the lifecycle of an endpoint, which makes a new generation.
     pub fn set(&mut self, endpoint: u32, lifecycle: Lifecycle) {
         match self.entries.iter_mut().find(|e| e.endpoint == endpoint) {
             Some(entry) => entry.lifecycle = lifecycle,
@@ -70,18 +77,18 @@
         }
     }
 
-    /// Loses its history, so that every watch gets the whole list.
-    pub fn forget(&mut self) {
+    /// Drops the history, so that every watch gets the whole list.
+    pub fn forget_history(&mut self) {
         self.generation += 1;
         self.history.clear();
     }
 
-    /// Those that the whole list no longer names.
+    /// Returns the endpoints that the whole list no longer contains.
     pub fn gone(&self) -> Vec<u32> {
         self.entries.iter().filter(|e| e.lifecycle == Lifecycle::Gone).map(|e| e.endpoint).collect()
     }
 
-    /// What is new since a version; the whole list where none or one too old is named.
+    /// Returns the changes since a generation, or the whole list if `index` is absent, too old or unknown.
     pub fn since(&self, index: Option<u64>) -> ListUpdate {
         let oldest = self.history.front().map_or(self.generation, |(g, _)| g - 1);
         match index {
@@ -104,7 +111,7 @@
     use super::*;
 
     #[test]
-    fn a_watch_gets_each_change_once_and_the_whole_list_where_it_is_too_far_behind() {
+    fn watch_gets_each_change_once_or_whole_list_if_too_old() {
         let mut list = EndpointList::new([0, 1]);
         assert!(list.since(None).reset);
         list.set(1, Lifecycle::Terminating);
@@ -117,9 +124,12 @@
         assert_eq!(told.entries, [gone, new]);
         assert_eq!(list.since(Some(3)).entries, [new]);
         assert_eq!(list.since(Some(4)).entries, []);
-        assert!(list.since(Some(9)).reset, "a version of another life of the list");
-        assert!(!list.since(None).entries.contains(&gone), "the whole list names no endpoint that is gone");
-        list.forget();
+        assert!(list.since(Some(9)).reset, "a generation that this list has not reached");
+        assert!(
+            !list.since(None).entries.contains(&gone),
+            "the whole list contains no endpoint that is gone"
+        );
+        list.forget_history();
         assert!(list.since(Some(4)).reset && !list.since(Some(5)).reset);
         for _ in 0..=HISTORY {
             list.set(2, Lifecycle::Ready);
--- a/crates/testbed/src/platform/mod.rs
+++ b/crates/testbed/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's cores: no sockets, clocks or threads. Events in, actions out.
+//! The logic of the stub platform, without sockets, clocks and threads: it takes events and returns outputs.
 pub mod destination;
 pub mod limit;
 pub mod list;
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -1,4 +1,5 @@
-//! A play on disk: `seed-N/` with the plan, the facts (a JSON object a line), the verdict, and the senders' folders.
+//! A play on disk: `seed-N/` with the plan, the facts (a JSON object a line), the verdict, and the senders'
+//! folders.
 use crate::facts::Fact;
 use crate::plan::{Destination, Plan, Terms};
 use crate::play::{Played, Verdict};
--- a/crates/testbed/src/seed.rs
+++ b/crates/testbed/src/seed.rs
@@ -1,4 +1,5 @@
-//! Randomness from one seed: a stream of its own for each use, so that one more draw in one place moves no other.
+//! Randomness from one seed: a stream of its own for each use, so that one more draw in one place moves no
+//! other.
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/testbed/src/sim/queue.rs
+++ b/crates/testbed/src/sim/queue.rs
@@ -1,4 +1,4 @@
-//! Events by time; those of one time in the order in which they were entered.
+//! The event queue of the simulation.
 use crate::clock::Ns;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -28,23 +28,26 @@
     }
 }
 
-pub struct Queue<T> {
+/// A queue of events by time. Events of the same time are returned in the order in which they were added.
+pub struct EventQueue<T> {
     entries: BinaryHeap<Entry<T>>,
-    entered: u64,
+    pushed: u64,
 }
 
-impl<T> Default for Queue<T> {
-    fn default() -> Queue<T> {
-        Queue { entries: BinaryHeap::new(), entered: 0 }
+impl<T> Default for EventQueue<T> {
+    fn default() -> EventQueue<T> {
+        EventQueue { entries: BinaryHeap::new(), pushed: 0 }
     }
 }
 
-impl<T> Queue<T> {
+impl<T> EventQueue<T> {
+    /// Adds an event at a time.
     pub fn push(&mut self, at: Ns, event: T) {
-        self.entered += 1;
-        self.entries.push(Entry { key: Reverse((at, self.entered)), event });
+        self.pushed += 1;
+        self.entries.push(Entry { key: Reverse((at, self.pushed)), event });
     }
 
+    /// Removes and returns the earliest event.
     pub fn pop(&mut self) -> Option<(Ns, T)> {
         let Entry { key: Reverse((at, _)), event } = self.entries.pop()?;
         Some((at, event))
--- a/crates/testbed/src/sim/senders.rs
+++ b/crates/testbed/src/sim/senders.rs
@@ -1,4 +1,5 @@
-//! A sender's process in simulated time: the module, what it holds, and the journal that outlasts it.
+//! A sender in simulated time: its process with the decision module, and its messages, which survive the
+//! process as in a journal.
 use super::SimError;
 use crate::clock::{Ns, MS, SECOND};
 use crate::facts::MessageId;
@@ -8,120 +9,128 @@
 use sender::settings;
 use std::collections::BTreeMap;
 
-/// Where the module's clock stands when clients begin, as attempts of earlier processes lie before it.
+/// Time of the module's clock at the beginning of the play. It is above zero as attempts of earlier processes
+/// lie before.
 const EPOCH: Ns = 1_000 * SECOND;
 
-/// A message that the sender owes its end.
+/// A message that a sender holds.
 #[derive(Clone, Debug)]
-pub struct Held {
-    pub wire: MessageId,
+pub struct HeldMessage {
+    pub wire_id: MessageId,
     pub class: usize,
     pub dest: u32,
     pub due: Ns,
-    /// Of all processes so far.
-    pub attempts: Vec<Tried>,
-    /// Its client waits for the answer.
-    pub offered: bool,
+    /// The attempts by all of the sender's processes so far.
+    pub attempts: Vec<SentAttempt>,
+    /// The client waits for the answer, so the message is not accepted yet.
+    pub client_waiting: bool,
 }
 
+/// An attempt that was sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Tried {
+pub struct SentAttempt {
     pub endpoint: u32,
     pub sent: Ns,
     pub may_have_run: bool,
 }
 
-/// Whether there is a process, and what it does.
+/// State of a sender's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Process {
     Down,
     Up,
-    /// It was told to end: it takes nothing new on.
+    /// It has received SIGTERM and accepts no new messages.
     Ending,
     Paused,
 }
 
+/// A sender with its current process, if there is one.
 pub struct Sender {
     settings: Settings,
     module: policy::Sender,
     pub process: Process,
-    /// Raised with each start, so that what an earlier process asked for reaches no later one.
-    pub life: u32,
-    pub held: BTreeMap<MsgId, Held>,
+    /// Number of processes so far. Events for an earlier process are dropped by it.
+    pub incarnation: u32,
+    pub held: BTreeMap<MsgId, HeldMessage>,
     inbox: Vec<Event>,
-    /// A round is due for what is in the inbox.
-    pub round: bool,
+    /// A round is scheduled for the current inbox.
+    pub round_scheduled: bool,
+    /// When the module asked to be called.
     pub timer: Option<Ns>,
-    next: MsgId,
+    next_id: MsgId,
 }
 
 impl Sender {
+    /// Creates a sender without a process.
     pub fn new(plan: &Plan, number: usize) -> Result<Sender, SimError> {
         let (settings, _) = settings::read(&plan.settings(number)).map_err(SimError::Settings)?;
         Ok(Sender {
             module: policy::Sender::new(settings.clone(), 0),
             settings,
             process: Process::Down,
-            life: 0,
+            incarnation: 0,
             held: BTreeMap::new(),
             inbox: Vec::new(),
-            round: false,
+            round_scheduled: false,
             timer: None,
-            next: 1,
+            next_id: 1,
         })
     }
 
-    /// A new process with the list as it knows it; what the journal holds is taken up.
+    /// Starts a process with the current list; it resumes the messages in the journal.
     pub fn start(&mut self, now: Ns, seed: u64, list: Event) {
         self.module = policy::Sender::new(self.settings.clone(), seed);
         self.process = Process::Up;
-        self.life += 1;
+        self.incarnation += 1;
         self.timer = None;
         self.inbox = vec![list];
-        // What was offered and not answered was never taken on.
-        self.held.retain(|_, h| !h.offered);
+        // Messages whose client was not answered were never accepted.
+        self.held.retain(|_, h| !h.client_waiting);
         for (&id, held) in &self.held {
-            let past = |t: &Tried| PastAttempt {
+            let past_attempt = |t: &SentAttempt| PastAttempt {
                 endpoint: Some(t.endpoint),
                 sent: EPOCH + t.sent,
                 may_have_run: t.may_have_run,
             };
-            let past = held.attempts.iter().map(past).collect();
+            let past = held.attempts.iter().map(past_attempt).collect();
             self.inbox.push(Event::Resumed { message: message(id, held, now), past });
         }
     }
 
+    /// Ends the process.
     pub fn kill(&mut self) {
         self.process = Process::Down;
         self.inbox.clear();
-        self.round = false;
+        self.round_scheduled = false;
     }
 
-    /// Its disk is gone, and with it what it owed.
-    pub fn empty(&mut self) {
+    /// Loses the journal, and with it all messages.
+    pub fn clear_state(&mut self) {
         self.held.clear();
     }
 
-    /// Takes a client's message, if there is room; its answer comes with the round.
-    pub fn offer(&mut self, now: Ns, held: Held) -> Result<MsgId, Ns> {
+    /// Takes a client's message, which the next round decides on. If there is no room for it, returns the
+    /// backoff to answer with.
+    pub fn offer(&mut self, now: Ns, held: HeldMessage) -> Result<MsgId, Ns> {
         if self.held.len() >= self.settings.max_open {
             return Err(self.module.backoff(held.dest.into()));
         }
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         self.inbox.push(Event::Message(message(id, &held, now)));
         self.held.insert(id, held);
         Ok(id)
     }
 
-    pub fn tell(&mut self, event: Event) {
+    /// Adds an event to the inbox.
+    pub fn push_event(&mut self, event: Event) {
         self.inbox.push(event);
     }
 
-    /// Has the module decide on all that has come.
+    /// Has the module decide on the inbox, and returns its actions.
     pub fn decide(&mut self, now: Ns) -> Vec<Action> {
         let mut events = std::mem::take(&mut self.inbox);
-        self.round = false;
+        self.round_scheduled = false;
         if self.timer.is_some_and(|at| at <= now) {
             self.timer = None;
             events.push(Event::Timer);
@@ -140,13 +149,13 @@
     }
 }
 
-/// A time of the module's on the play's clock.
-pub fn played(at: Ns) -> Ns {
+/// Converts a time of the module's clock to the play's.
+pub fn to_play_time(at: Ns) -> Ns {
     at - EPOCH
 }
 
-fn message(id: MsgId, held: &Held, now: Ns) -> Message {
-    // Clients state whole milliseconds.
+fn message(id: MsgId, held: &HeldMessage, now: Ns) -> Message {
+    // Clients give the remaining time in whole milliseconds.
     let left = (held.due - now) / MS * MS;
     Message { id, class: held.class, dest: held.dest.into(), time_left: left, cost: 0, key: None, tenant: 0 }
 }
--- a/crates/testbed/src/sim/world/lists.rs
+++ b/crates/testbed/src/sim/world/lists.rs
@@ -1,5 +1,5 @@
-//! The list of endpoints: its changes, and whom they are told.
-use super::{Happens, World};
+//! Discovery in simulated time: changes of the list, and their delivery to the senders.
+use super::{SimEvent, World};
 use crate::clock::from_seconds;
 use crate::facts::FactKind;
 use crate::platform::list::{Entry, Lifecycle, ListUpdate};
@@ -9,40 +9,42 @@
 use sender::api::{self, Event};
 
 impl World<'_> {
-    pub(super) fn change(&mut self, endpoint: u32, lifecycle: Lifecycle) {
+    /// Records the change of an endpoint and schedules its publication.
+    pub(super) fn change_endpoint(&mut self, endpoint: u32, lifecycle: Lifecycle) {
         self.record(FactKind::EndpointChanged { endpoint, lifecycle });
         let [low, high] = self.plan.spec.platform.notice_s;
-        let late = low + (high - low) * self.late.random::<f64>();
-        // Nothing is told before what came earlier.
-        self.published = self.published.max(self.now + from_seconds(late));
-        self.queue.push(self.published, Happens::Publish { endpoint, lifecycle });
+        let late = low + (high - low) * self.publish_delays.random::<f64>();
+        // Changes are published in their order.
+        self.last_publish_at = self.last_publish_at.max(self.now + from_seconds(late));
+        self.queue.push(self.last_publish_at, SimEvent::PublishChange { endpoint, lifecycle });
     }
 
-    /// Tells each sender that can hear it what is new to it.
-    pub(super) fn tell_lists(&mut self) {
-        if !self.discovery.is_empty() {
+    /// Sends each reachable sender the changes that it does not have yet.
+    pub(super) fn send_list_changes(&mut self) {
+        if !self.discovery_faults.is_empty() {
             return;
         }
         let generation = self.list.generation();
         for sender in 0..self.senders.len() as u32 {
-            let behind = self.told[sender as usize] < generation;
-            let hears = self.links.get(&(Link::Discovery, sender)).is_none_or(|way| way.condition.connects());
+            let behind = self.sent_generations[sender as usize] < generation;
+            let hears =
+                self.links.get(&(Link::Discovery, sender)).is_none_or(|link| link.condition.connects());
             let up = self.senders[sender as usize].process != Process::Down;
             if !(behind && hears && up) {
                 continue;
             }
-            let told = self.list.since(Some(self.told[sender as usize]));
-            self.told[sender as usize] = generation;
-            for Entry { endpoint, lifecycle } in &told.entries {
+            let update = self.list.since(Some(self.sent_generations[sender as usize]));
+            self.sent_generations[sender as usize] = generation;
+            for Entry { endpoint, lifecycle } in &update.entries {
                 self.record(FactKind::ChangeSent { sender, endpoint: *endpoint, lifecycle: *lifecycle });
             }
-            let list = self.listed(&told);
-            self.tell(sender, list);
+            let list = self.list_event(&update);
+            self.push_event(sender, list);
         }
     }
 
-    /// The list as the module is told of it.
-    pub(super) fn listed(&self, told: &ListUpdate) -> Event {
+    /// Returns the event that tells a sender's module of the list or its changes.
+    pub(super) fn list_event(&self, update: &ListUpdate) -> Event {
         let entry = |e: &Entry| {
             let drawn = &self.plan.endpoints[e.endpoint as usize];
             let dest = &self.plan.destinations[drawn.dest as usize];
@@ -60,6 +62,6 @@
                 rate_hint: dest.per_s,
             }
         };
-        Event::List { whole: told.reset, entries: told.entries.iter().map(entry).collect() }
+        Event::List { whole: update.reset, entries: update.entries.iter().map(entry).collect() }
     }
 }
--- a/crates/testbed/src/sim/world/mod.rs
+++ b/crates/testbed/src/sim/world/mod.rs
@@ -1,12 +1,12 @@
-//! The play in simulated time: clients, senders, endpoints and the schedule, event by event.
+//! A play in simulated time: an event loop over clients, senders, endpoints, discovery and the schedule.
 mod calls;
 mod clients;
 mod lists;
 mod processes;
 mod schedule;
 
-use super::network::{Calls, Pools};
-use super::queue::Queue;
+use super::network::{Calls, ConnectionPools};
+use super::queue::EventQueue;
 use super::senders::{Process, Sender};
 use super::SimError;
 use crate::client_retry::RetryState;
@@ -22,137 +22,110 @@
 use sender::api::{Event, MsgId, Outcome};
 use std::collections::{BTreeMap, HashMap};
 
-/// A client's patience, and what it takes a process to be ready and, after SIGTERM, to end (as seen of the sender).
-const PATIENCE: Ns = 400 * MS;
-const READY: Ns = 150 * MS;
-const ENDS: Ns = 3_300 * MS;
-/// A notice that did not get through is sent again after so long.
-const NOTICE_AGAIN: Ns = 500 * MS;
-/// How long after the last message's time the play goes on, and how often it looks whether it may end sooner.
-const GRACE: Ns = 2 * SECOND;
-const LOOK: Ns = 100 * MS;
+/// How long a client waits for the answer to a hand-in.
+const CLIENT_TIMEOUT: Ns = 400 * MS;
+/// How long a started process takes to be ready.
+const STARTUP_SPAN: Ns = 150 * MS;
+/// How long a process takes to end after SIGTERM, as the program does.
+const SHUTDOWN_SPAN: Ns = 3_300 * MS;
+/// A notice that could not be sent is sent again after this time.
+const NOTICE_RETRY_DELAY: Ns = 500 * MS;
+/// How long the play goes on after the deadline of the last message.
+const END_GRACE: Ns = 2 * SECOND;
+/// How often the play checks whether it can end before that.
+const END_CHECK_INTERVAL: Ns = 100 * MS;
 
-enum Happens {
-    /// A client wants its message delivered, or comes again with it.
-    Ask(u32),
-    Again(u32),
-    Offer {
-        request: u32,
-        wire: MessageId,
-        sender: u32,
-        handed: Ns,
-    },
-    /// A client hears how its hand-in ended.
-    Hears {
-        request: u32,
-        wire: MessageId,
-        heard: HandInResult,
-        told: Option<Ns>,
-    },
-    Round {
-        sender: u32,
-        life: u32,
-    },
-    Wake {
-        sender: u32,
-        life: u32,
-    },
-    Comes {
-        call: CallNumber,
-        fresh: bool,
-    },
-    Arrives {
-        call: CallNumber,
-    },
-    Finish {
-        dest: u32,
-        place: usize,
-        call: CallNumber,
-    },
-    /// What the sender learns of a call; `keeps` its connection.
-    Ends {
-        call: CallNumber,
-        outcome: Outcome,
-        wait: Ns,
-        done: bool,
-        keeps: bool,
-    },
-    /// The sender waits no longer.
-    Limit {
-        call: CallNumber,
-    },
-    Probed {
-        sender: u32,
-        life: u32,
-        endpoint: u32,
-        outcome: Outcome,
-    },
-    Notice {
-        request: u32,
-        wire: MessageId,
-        sender: u32,
-        notice: Notice,
-        retry_in: Option<Ns>,
-    },
-    Step(usize),
-    Publish {
-        endpoint: u32,
-        lifecycle: Lifecycle,
-    },
-    Ready {
-        sender: u32,
-        life: u32,
-    },
-    Exit {
-        sender: u32,
-        life: u32,
-    },
-    Look,
+/// An event of the simulation. `incarnation` is that of the sender's process when the event was scheduled;
+/// the event is dropped if there is another process by then.
+enum SimEvent {
+    /// A client hands in the message of a request for the first time.
+    FirstHandIn(u32),
+    /// A client hands in the message of a request again.
+    NextHandIn(u32),
+    /// A hand-in reaches its sender.
+    HandInReceived { request: u32, wire_id: MessageId, sender: u32, handed_in_at: Ns },
+    /// A client learns how its hand-in ended.
+    HandInEnds { request: u32, wire_id: MessageId, result: HandInResult, retry_after: Option<Ns> },
+    /// A sender's module decides on its inbox.
+    RunRound { sender: u32, incarnation: u32 },
+    /// The timer of a sender's module may be due.
+    TimerDue { sender: u32, incarnation: u32 },
+    /// A call reaches its endpoint; `fresh` if its connection is new.
+    CallReceived { call: CallNumber, fresh: bool },
+    /// The endpoint handles a call, after the handshake of a new connection.
+    CallProcessed { call: CallNumber },
+    /// The service of a call ends.
+    ServiceEnds { dest: u32, index: usize, call: CallNumber },
+    /// A sender learns how a call ended; `done` if its message is finished, `keeps` if the connection stays
+    /// open.
+    CallEnds { call: CallNumber, outcome: Outcome, wait: Ns, done: bool, keeps: bool },
+    /// The time limit of a call is over for its sender.
+    CallTimesOut { call: CallNumber },
+    /// A sender learns how a probe ended.
+    ProbeEnds { sender: u32, incarnation: u32, endpoint: u32, outcome: Outcome },
+    /// A notice reaches discovery.
+    NoticeReceived { request: u32, wire_id: MessageId, sender: u32, notice: Notice, retry_in: Option<Ns> },
+    /// A step of the schedule, by number.
+    ScheduledStep(usize),
+    /// Discovery publishes the change of an endpoint.
+    PublishChange { endpoint: u32, lifecycle: Lifecycle },
+    /// A started process is ready.
+    ProcessReady { sender: u32, incarnation: u32 },
+    /// A process ends after SIGTERM.
+    ProcessExits { sender: u32, incarnation: u32 },
+    /// Checks whether the play can end.
+    CheckEnd,
 }
 
-/// A client with its message.
-struct Asking {
+/// The client of a request that has not ended.
+struct PendingRequest {
     client: RetryState,
     random: ChaCha8Rng,
 }
 
-struct Way {
+/// A link of a sender that the schedule disturbs, with one lane for each direction.
+struct LinkState {
     condition: Condition,
     to: Lane,
     back: Lane,
 }
 
+/// The state of a play in simulated time.
 pub struct World<'a> {
     plan: &'a Plan,
     now: Ns,
-    queue: Queue<Happens>,
+    queue: EventQueue<SimEvent>,
     facts: Vec<Fact>,
     senders: Vec<Sender>,
-    /// Whom a sender's message belongs to.
+    /// The request of each message that a sender holds.
     requests: HashMap<(u32, MsgId), u32>,
-    asking: HashMap<u32, Asking>,
+    pending: HashMap<u32, PendingRequest>,
     dests: Vec<Destination>,
+    /// By endpoint: whether its process exists.
     present: Vec<bool>,
-    /// Each endpoint's destination, and its place there.
-    places: Vec<(u32, usize)>,
+    /// By endpoint: its destination, and its index there.
+    locations: Vec<(u32, usize)>,
     calls: Calls,
     next_call: CallNumber,
-    pools: Pools,
+    pools: ConnectionPools,
     list: EndpointList,
-    /// The list's version that each sender was told last.
-    told: Vec<u64>,
-    /// Troubles of discovery under way.
-    discovery: Vec<EventKind>,
-    links: BTreeMap<(Link, u32), Way>,
-    late: ChaCha8Rng,
-    /// When the last change is told that there was.
-    published: Ns,
-    seeds: ChaCha8Rng,
-    /// Clients that are to come again.
-    away: usize,
+    /// By sender: the generation of the list that it was sent last.
+    sent_generations: Vec<u64>,
+    /// Current faults of discovery.
+    discovery_faults: Vec<EventKind>,
+    links: BTreeMap<(Link, u32), LinkState>,
+    /// Random stream for the delays after which changes are published.
+    publish_delays: ChaCha8Rng,
+    /// When the last of the changes so far is published.
+    last_publish_at: Ns,
+    /// Random stream for the seeds of senders' processes.
+    process_seeds: ChaCha8Rng,
+    /// Number of scheduled `NextHandIn` events.
+    waiting_retries: usize,
 }
 
 impl<'a> World<'a> {
+    /// Creates the state at the beginning of a play.
     pub fn new(plan: &'a Plan) -> Result<World<'a>, SimError> {
         let senders = (0..plan.senders.len()).map(|n| Sender::new(plan, n)).collect::<Result<Vec<_>, _>>()?;
         let dest = |(number, drawn): (usize, &crate::plan::Destination)| {
@@ -163,69 +136,70 @@
         let mut links = BTreeMap::new();
         for link in [Link::Endpoints, Link::Discovery, Link::Clients] {
             for sender in (0..senders.len() as u32).filter(|s| plan.has_link_events(link, *s)) {
-                let lane = |way| Lane::new(plan.seed.stream(way, (link as u64) << 32 | u64::from(sender)));
-                let way = Way { condition: Condition::default(), to: lane("sim to"), back: lane("sim back") };
-                links.insert((link, sender), way);
+                let lane = |name| Lane::new(plan.seed.stream(name, (link as u64) << 32 | u64::from(sender)));
+                let state =
+                    LinkState { condition: Condition::default(), to: lane("sim to"), back: lane("sim back") };
+                links.insert((link, sender), state);
             }
         }
-        let place = |(number, e): (usize, &crate::plan::Endpoint)| {
+        let location = |(number, e): (usize, &crate::plan::Endpoint)| {
             (e.dest, plan.endpoints[..number].iter().filter(|before| before.dest == e.dest).count())
         };
         let listed = plan.endpoints.iter().enumerate().filter(|(_, e)| e.listed).map(|(i, _)| i as u32);
         Ok(World {
             now: 0,
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             facts: Vec::new(),
-            told: vec![0; senders.len()],
+            sent_generations: vec![0; senders.len()],
             senders,
             requests: HashMap::new(),
-            asking: HashMap::new(),
+            pending: HashMap::new(),
             dests: plan.destinations.iter().enumerate().map(dest).collect(),
             present: plan.endpoints.iter().map(|e| e.listed).collect(),
-            places: plan.endpoints.iter().enumerate().map(place).collect(),
+            locations: plan.endpoints.iter().enumerate().map(location).collect(),
             calls: Calls::new(),
             next_call: 1,
-            pools: Pools::default(),
+            pools: ConnectionPools::default(),
             list: EndpointList::new(listed),
-            discovery: Vec::new(),
+            discovery_faults: Vec::new(),
             links,
-            late: plan.seed.stream("notices", 0),
-            published: 0,
-            seeds: plan.seed.stream("processes", 0),
-            away: 0,
+            publish_delays: plan.seed.stream("notices", 0),
+            last_publish_at: 0,
+            process_seeds: plan.seed.stream("processes", 0),
+            waiting_retries: 0,
             plan,
         })
     }
 
-    /// Plays to the end; the facts are in the order of their times.
+    /// Runs the play to its end and returns the facts in the order of their times.
     pub fn run(mut self) -> Vec<Fact> {
         for sender in 0..self.senders.len() as u32 {
-            self.start(sender, StateFolder::Keep, 0);
+            self.start_process(sender, StateFolder::Keep, 0);
         }
         for (number, arrival) in self.plan.arrivals.iter().enumerate() {
-            self.queue.push(arrival.at, Happens::Ask(number as u32));
+            self.queue.push(arrival.at, SimEvent::FirstHandIn(number as u32));
         }
         for (number, step) in self.plan.schedule.iter().enumerate() {
-            self.queue.push(step.at, Happens::Step(number));
+            self.queue.push(step.at, SimEvent::ScheduledStep(number));
         }
-        let asked = self.plan.terms.request_span;
-        let last = self.plan.terms.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let request_span = self.plan.terms.request_span;
+        let longest_deadline = self.plan.terms.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let scheduled = self.plan.schedule.last().map_or(0, |s| s.at);
-        let over = asked.max(scheduled) + last + GRACE;
-        self.queue.push(asked.max(scheduled) + LOOK, Happens::Look);
-        while let Some((at, happens)) = self.queue.pop() {
-            if at > over {
+        let end = request_span.max(scheduled) + longest_deadline + END_GRACE;
+        self.queue.push(request_span.max(scheduled) + END_CHECK_INTERVAL, SimEvent::CheckEnd);
+        while let Some((at, event)) = self.queue.pop() {
+            if at > end {
                 break;
             }
             self.now = at;
-            if let Happens::Look = happens {
-                if self.away == 0 && self.senders.iter().all(|s| s.held.is_empty()) {
+            if let SimEvent::CheckEnd = event {
+                if self.waiting_retries == 0 && self.senders.iter().all(|s| s.held.is_empty()) {
                     break;
                 }
-                self.queue.push(at + LOOK, Happens::Look);
+                self.queue.push(at + END_CHECK_INTERVAL, SimEvent::CheckEnd);
                 continue;
             }
-            self.happen(happens);
+            self.handle(event);
         }
         self.facts.sort_by_key(|f| f.at);
         self.facts
@@ -235,64 +209,76 @@
         self.facts.push(Fact { at: self.now, kind });
     }
 
-    fn after(&mut self, span: Ns, happens: Happens) {
-        self.queue.push(self.now + span, happens);
+    /// Schedules an event after a span of time.
+    fn after(&mut self, span: Ns, event: SimEvent) {
+        self.queue.push(self.now + span, event);
     }
 
-    fn happen(&mut self, happens: Happens) {
-        match happens {
-            Happens::Ask(request) => self.ask(request),
-            Happens::Again(request) => {
-                self.away -= 1;
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::FirstHandIn(request) => self.first_hand_in(request),
+            SimEvent::NextHandIn(request) => {
+                self.waiting_retries -= 1;
                 self.hand_in(request);
             }
-            Happens::Offer { request, wire, sender, handed } => self.offer(request, wire, sender, handed),
-            Happens::Hears { request, wire, heard, told } => self.hears(request, wire, heard, told),
-            Happens::Round { sender, life } => {
-                let one = &self.senders[sender as usize];
-                if one.life == life && one.round && matches!(one.process, Process::Up | Process::Ending) {
-                    self.round(sender);
+            SimEvent::HandInReceived { request, wire_id, sender, handed_in_at } => {
+                self.receive_hand_in(request, wire_id, sender, handed_in_at)
+            }
+            SimEvent::HandInEnds { request, wire_id, result, retry_after } => {
+                self.end_hand_in(request, wire_id, result, retry_after)
+            }
+            SimEvent::RunRound { sender, incarnation } => {
+                let sender_state = &self.senders[sender as usize];
+                if sender_state.incarnation == incarnation
+                    && sender_state.round_scheduled
+                    && matches!(sender_state.process, Process::Up | Process::Ending)
+                {
+                    self.run_round(sender);
                 }
             }
-            Happens::Wake { sender, life } => {
-                let one = &self.senders[sender as usize];
-                if one.life == life && one.timer.is_some_and(|at| at <= self.now) {
-                    self.rouse(sender);
+            SimEvent::TimerDue { sender, incarnation } => {
+                let sender_state = &self.senders[sender as usize];
+                if sender_state.incarnation == incarnation
+                    && sender_state.timer.is_some_and(|at| at <= self.now)
+                {
+                    self.schedule_round(sender);
                 }
             }
-            Happens::Comes { call, fresh } => self.comes(call, fresh),
-            Happens::Arrives { call } => self.arrives(call),
-            Happens::Finish { dest, place, call } => {
-                let outs = self.dests[dest as usize].finish(self.now, place, call);
-                self.carry_out(dest, outs);
+            SimEvent::CallReceived { call, fresh } => self.receive_call(call, fresh),
+            SimEvent::CallProcessed { call } => self.process_call(call),
+            SimEvent::ServiceEnds { dest, index, call } => {
+                let outputs = self.dests[dest as usize].finish(self.now, index, call);
+                self.apply_outputs(dest, outputs);
+            }
+            SimEvent::CallEnds { call, outcome, wait, done, keeps } => {
+                self.end_call(call, outcome, wait, done, keeps)
             }
-            Happens::Ends { call, outcome, wait, done, keeps } => self.ends(call, outcome, wait, done, keeps),
-            Happens::Limit { call } => self.leave(call, Outcome::NoAnswer),
-            Happens::Probed { sender, life, endpoint, outcome } => {
-                if self.senders[sender as usize].life == life {
+            SimEvent::CallTimesOut { call } => self.cancel_call(call, Outcome::NoAnswer),
+            SimEvent::ProbeEnds { sender, incarnation, endpoint, outcome } => {
+                if self.senders[sender as usize].incarnation == incarnation {
                     let probed = Event::Probed { endpoint, outcome, report: None };
-                    self.tell(sender, probed);
+                    self.push_event(sender, probed);
                 }
             }
-            Happens::Notice { request, wire, sender, notice, retry_in } => {
-                self.notice(request, wire, sender, notice, retry_in)
+            SimEvent::NoticeReceived { request, wire_id, sender, notice, retry_in } => {
+                self.receive_notice(request, wire_id, sender, notice, retry_in)
             }
-            Happens::Step(number) => {
+            SimEvent::ScheduledStep(number) => {
                 let plan = self.plan;
-                self.step(&plan.schedule[number].action);
+                self.apply_step(&plan.schedule[number].action);
             }
-            Happens::Publish { endpoint, lifecycle } => {
+            SimEvent::PublishChange { endpoint, lifecycle } => {
                 self.list.set(endpoint, lifecycle);
-                self.tell_lists();
+                self.send_list_changes();
             }
-            Happens::Ready { sender, life } => self.ready(sender, life),
-            Happens::Exit { sender, life } => {
-                let one = &self.senders[sender as usize];
-                if one.life == life && one.process == Process::Ending {
+            SimEvent::ProcessReady { sender, incarnation } => self.process_ready(sender, incarnation),
+            SimEvent::ProcessExits { sender, incarnation } => {
+                let sender_state = &self.senders[sender as usize];
+                if sender_state.incarnation == incarnation && sender_state.process == Process::Ending {
                     self.end_process(sender, ProcessEvent::Exited { expected: true });
                 }
             }
-            Happens::Look => {}
+            SimEvent::CheckEnd => {}
         }
     }
 }
--- a/crates/testbed/src/sim/world/processes.rs
+++ b/crates/testbed/src/sim/world/processes.rs
@@ -1,154 +1,179 @@
-//! Senders' processes: rounds of decisions, what they let go, starts and ends.
-use super::{Happens, World};
+//! Senders' processes in simulated time: rounds of decisions, ends of messages, starts and ends of processes.
+use super::{SimEvent, World};
 use crate::clock::Ns;
 use crate::facts::{FactKind, HandInResult, MessageId, Notice, ProcessEvent};
 use crate::platform::destination::CallNumber;
-use crate::sim::network::{Call, WAY};
+use crate::sim::network::{Call, ONE_WAY_DELAY};
 use crate::sim::senders::{self, Process};
 use crate::spec::StateFolder;
 use rand::Rng;
 use sender::api::{Action, Event, MsgId, Outcome};
 
 impl World<'_> {
-    /// Has a sender decide, at this time, on all that has come to it.
-    pub(super) fn rouse(&mut self, sender: u32) {
-        let one = &mut self.senders[sender as usize];
-        if one.round || one.process == Process::Down {
+    /// Schedules a round of a sender at the current time, unless one is scheduled already.
+    pub(super) fn schedule_round(&mut self, sender: u32) {
+        let sender_state = &mut self.senders[sender as usize];
+        if sender_state.round_scheduled || sender_state.process == Process::Down {
             return;
         }
-        one.round = true;
-        let life = one.life;
-        self.after(0, Happens::Round { sender, life });
+        sender_state.round_scheduled = true;
+        let incarnation = sender_state.incarnation;
+        self.after(0, SimEvent::RunRound { sender, incarnation });
     }
 
-    pub(super) fn tell(&mut self, sender: u32, event: Event) {
-        let one = &mut self.senders[sender as usize];
-        if one.process != Process::Down {
-            one.tell(event);
-            self.rouse(sender);
+    /// Adds an event to a sender's inbox and schedules a round.
+    pub(super) fn push_event(&mut self, sender: u32, event: Event) {
+        let sender_state = &mut self.senders[sender as usize];
+        if sender_state.process != Process::Down {
+            sender_state.push_event(event);
+            self.schedule_round(sender);
         }
     }
 
-    pub(super) fn round(&mut self, sender: u32) {
+    /// Has a sender's module decide on its inbox, and carries out its actions.
+    pub(super) fn run_round(&mut self, sender: u32) {
         let actions = self.senders[sender as usize].decide(self.now);
         for action in actions {
             match action {
                 Action::Send { id, endpoint, limit, by } => {
-                    self.send(sender, id, endpoint, limit, senders::played(by));
+                    self.send_call(sender, id, endpoint, limit, senders::to_play_time(by));
                 }
                 Action::Refuse { id, backoff } => {
-                    let told = (backoff > 0).then_some(backoff);
-                    self.let_go(sender, id, HandInResult::Refused, Notice::HandedBack, told);
+                    let retry_after = (backoff > 0).then_some(backoff);
+                    self.release_message(sender, id, HandInResult::Refused, Notice::HandedBack, retry_after);
+                }
+                Action::Fail { id } => {
+                    self.release_message(sender, id, HandInResult::Failed, Notice::GivenUp, None)
                 }
-                Action::Fail { id } => self.let_go(sender, id, HandInResult::Failed, Notice::GivenUp, None),
                 Action::Cancel { id, attempt } => {
                     let is = |c: &Call| c.sender == sender && c.id == id && c.attempt == attempt;
-                    // By number, as the table's order is no seed's.
+                    // The lowest number, as the iteration order of the map is not deterministic.
                     let call = self.calls.iter().filter(|(_, c)| is(c)).map(|(n, _)| *n).min();
                     if let Some(call) = call {
-                        self.leave(call, Outcome::CalledOff);
+                        self.cancel_call(call, Outcome::CalledOff);
                     }
                 }
                 Action::Probe { endpoint } => self.probe(sender, endpoint),
                 Action::Close { endpoint } => self.pools.close(sender, endpoint),
                 Action::Timer { at } => {
-                    let at = senders::played(at).max(self.now);
-                    let one = &mut self.senders[sender as usize];
-                    if one.timer.is_none_or(|timer| at < timer) {
-                        one.timer = Some(at);
-                        let life = one.life;
-                        self.queue.push(at, Happens::Wake { sender, life });
+                    let at = senders::to_play_time(at).max(self.now);
+                    let sender_state = &mut self.senders[sender as usize];
+                    if sender_state.timer.is_none_or(|timer| at < timer) {
+                        sender_state.timer = Some(at);
+                        let incarnation = sender_state.incarnation;
+                        self.queue.push(at, SimEvent::TimerDue { sender, incarnation });
                     }
                 }
             }
         }
-        // What is left of the offered is taken on.
-        let one = &mut self.senders[sender as usize];
-        let taken: Vec<(MsgId, MessageId)> = one
+        // Offered messages that the module has not ended are accepted.
+        let sender_state = &mut self.senders[sender as usize];
+        let accepted: Vec<(MsgId, MessageId)> = sender_state
             .held
             .iter_mut()
-            .filter(|(_, h)| h.offered)
+            .filter(|(_, h)| h.client_waiting)
             .map(|(id, h)| {
-                h.offered = false;
-                (*id, h.wire)
+                h.client_waiting = false;
+                (*id, h.wire_id)
             })
             .collect();
-        for (id, wire) in taken {
+        for (id, wire_id) in accepted {
             let Some(&request) = self.requests.get(&(sender, id)) else { continue };
-            self.after(WAY, Happens::Hears { request, wire, heard: HandInResult::Accepted, told: None });
+            self.after(
+                ONE_WAY_DELAY,
+                SimEvent::HandInEnds { request, wire_id, result: HandInResult::Accepted, retry_after: None },
+            );
         }
     }
 
-    /// The sender ends a message: to the client that waits for its answer, or by a notice.
-    pub(super) fn let_go(
+    /// Ends a message at its sender: by the answer if its client still waits for that, otherwise by a notice.
+    pub(super) fn release_message(
         &mut self,
         sender: u32,
         id: MsgId,
-        heard: HandInResult,
+        result: HandInResult,
         notice: Notice,
-        told: Option<Ns>,
+        retry_after: Option<Ns>,
     ) {
         let Some(held) = self.senders[sender as usize].held.remove(&id) else { return };
         let Some(request) = self.requests.remove(&(sender, id)) else { return };
-        let wire = held.wire;
-        match held.offered {
-            true => self.after(WAY, Happens::Hears { request, wire, heard, told }),
-            false => self.after(WAY, Happens::Notice { request, wire, sender, notice, retry_in: told }),
+        let wire_id = held.wire_id;
+        match held.client_waiting {
+            true => self.after(ONE_WAY_DELAY, SimEvent::HandInEnds { request, wire_id, result, retry_after }),
+            false => self.after(
+                ONE_WAY_DELAY,
+                SimEvent::NoticeReceived { request, wire_id, sender, notice, retry_in: retry_after },
+            ),
         }
     }
 
-    pub(super) fn start(&mut self, sender: u32, folder: StateFolder, ready: Ns) {
-        let one = &mut self.senders[sender as usize];
-        if one.process != Process::Down {
+    /// Starts a process of a sender, which is ready after `ready`.
+    pub(super) fn start_process(&mut self, sender: u32, folder: StateFolder, ready: Ns) {
+        let sender_state = &mut self.senders[sender as usize];
+        if sender_state.process != Process::Down {
             return;
         }
-        // One that found another's has refused it, and is started with its own.
+        // A process refuses another sender's state folder and is started again with its own, which takes no
+        // time here.
         if folder == StateFolder::Empty {
-            one.empty();
+            sender_state.clear_state();
             self.record(FactKind::Process { sender, event: ProcessEvent::Emptied });
         }
-        let life = self.senders[sender as usize].life;
+        let incarnation = self.senders[sender as usize].incarnation;
         self.record(FactKind::Process { sender, event: ProcessEvent::Started });
-        self.after(ready, Happens::Ready { sender, life });
+        self.after(ready, SimEvent::ProcessReady { sender, incarnation });
     }
 
-    pub(super) fn ready(&mut self, sender: u32, life: u32) {
-        let seed = self.seeds.next_u64();
-        let told = self.list.since(None);
-        let list = self.listed(&told);
-        let one = &mut self.senders[sender as usize];
-        if one.life != life || one.process != Process::Down {
+    /// Makes a started process ready, with the current list and what the journal holds.
+    pub(super) fn process_ready(&mut self, sender: u32, incarnation: u32) {
+        let seed = self.process_seeds.next_u64();
+        let update = self.list.since(None);
+        let list = self.list_event(&update);
+        let sender_state = &mut self.senders[sender as usize];
+        if sender_state.incarnation != incarnation || sender_state.process != Process::Down {
             return;
         }
-        one.start(self.now, seed, list);
-        self.told[sender as usize] = told.generation;
+        sender_state.start(self.now, seed, list);
+        self.sent_generations[sender as usize] = update.generation;
         self.record(FactKind::Process { sender, event: ProcessEvent::Ready });
-        self.rouse(sender);
+        self.schedule_round(sender);
     }
 
-    /// A process ends, by whatever cause: its calls and its clients' connections with it.
-    pub(super) fn end_process(&mut self, sender: u32, life: ProcessEvent) {
+    /// Ends a process, and with it its calls and its clients' connections.
+    pub(super) fn end_process(&mut self, sender: u32, event: ProcessEvent) {
         if self.senders[sender as usize].process == Process::Down {
             return;
         }
-        self.record(FactKind::Process { sender, event: life });
+        self.record(FactKind::Process { sender, event });
         let mut calls: Vec<CallNumber> =
             self.calls.iter().filter(|(_, c)| c.sender == sender).map(|(n, _)| *n).collect();
         calls.sort_unstable();
         for call in calls {
-            self.break_off(call);
+            self.drop_call(call);
         }
         for endpoint in 0..self.plan.endpoints.len() as u32 {
             self.pools.close(sender, endpoint);
         }
-        let one = &mut self.senders[sender as usize];
-        one.kill();
-        let unanswered: Vec<(MsgId, MessageId)> =
-            one.held.iter().filter(|(_, h)| h.offered).map(|(id, h)| (*id, h.wire)).collect();
-        for (id, wire) in unanswered {
+        let sender_state = &mut self.senders[sender as usize];
+        sender_state.kill();
+        let unanswered: Vec<(MsgId, MessageId)> = sender_state
+            .held
+            .iter()
+            .filter(|(_, h)| h.client_waiting)
+            .map(|(id, h)| (*id, h.wire_id))
+            .collect();
+        for (id, wire_id) in unanswered {
             self.senders[sender as usize].held.remove(&id);
             if let Some(request) = self.requests.remove(&(sender, id)) {
-                self.after(WAY, Happens::Hears { request, wire, heard: HandInResult::Closed, told: None });
+                self.after(
+                    ONE_WAY_DELAY,
+                    SimEvent::HandInEnds {
+                        request,
+                        wire_id,
+                        result: HandInResult::Closed,
+                        retry_after: None,
+                    },
+                );
             }
         }
     }
--- a/crates/testbed/src/sim/world/schedule.rs
+++ b/crates/testbed/src/sim/world/schedule.rs
@@ -1,5 +1,5 @@
-//! The schedule: what goes wrong, and when.
-use super::{Happens, World, ENDS, READY};
+//! The steps of the schedule in simulated time.
+use super::{SimEvent, World, SHUTDOWN_SPAN, STARTUP_SPAN};
 use crate::facts::{FactKind, ProcessEvent};
 use crate::plan::StepAction;
 use crate::platform::destination::CallNumber;
@@ -9,122 +9,126 @@
 use sender::api::Outcome;
 
 impl World<'_> {
-    pub(super) fn step(&mut self, does: &StepAction) {
-        match *does {
+    /// Carries out a step.
+    pub(super) fn apply_step(&mut self, action: &StepAction) {
+        match *action {
             StepAction::Begin { dest, kind, size, until } => {
                 self.record(FactKind::DestinationFault { dest, kind, begins: true });
-                let outs = self.dests[dest as usize].begin(self.now, kind, size, until);
-                self.carry_out(dest, outs);
+                let outputs = self.dests[dest as usize].begin_fault(self.now, kind, size, until);
+                self.apply_outputs(dest, outputs);
                 if kind == EventKind::Down {
-                    self.reset_all(dest);
+                    self.reset_destination(dest);
                 }
             }
             StepAction::End { dest, kind } => {
                 self.record(FactKind::DestinationFault { dest, kind, begins: false });
-                self.dests[dest as usize].end(self.now, kind);
-                // A machine that is back knows nothing of the connections that it had.
+                self.dests[dest as usize].end_fault(self.now, kind);
+                // A machine that comes back has lost its connections.
                 if kind == EventKind::Silent {
-                    self.reset_all(dest);
+                    self.reset_destination(dest);
                 }
             }
             StepAction::Drain { endpoint } => {
-                let (dest, place) = self.place(endpoint);
-                self.dests[dest as usize].drain(self.now, place);
-                self.change(endpoint, Lifecycle::Terminating);
+                let (dest, index) = self.locate(endpoint);
+                self.dests[dest as usize].drain(self.now, index);
+                self.change_endpoint(endpoint, Lifecycle::Terminating);
             }
             StepAction::Remove { endpoint } => {
                 self.present[endpoint as usize] = false;
-                self.reset(endpoint);
-                self.change(endpoint, Lifecycle::Gone);
+                self.reset_connections(endpoint);
+                self.change_endpoint(endpoint, Lifecycle::Gone);
             }
             StepAction::Add { endpoint } => {
-                let (dest, place) = self.place(endpoint);
-                self.dests[dest as usize].fresh(self.now, place);
+                let (dest, index) = self.locate(endpoint);
+                self.dests[dest as usize].start_cold(self.now, index);
                 self.present[endpoint as usize] = true;
-                self.change(endpoint, Lifecycle::Ready);
+                self.change_endpoint(endpoint, Lifecycle::Ready);
             }
             StepAction::Kill { sender } => self.end_process(sender, ProcessEvent::Killed),
             StepAction::Terminate { sender } => {
-                let one = &mut self.senders[sender as usize];
-                if one.process != Process::Down {
-                    one.process = Process::Ending;
-                    let life = one.life;
+                let sender_state = &mut self.senders[sender as usize];
+                if sender_state.process != Process::Down {
+                    sender_state.process = Process::Ending;
+                    let incarnation = sender_state.incarnation;
                     self.record(FactKind::Process { sender, event: ProcessEvent::Terminated });
-                    self.after(ENDS, Happens::Exit { sender, life });
+                    self.after(SHUTDOWN_SPAN, SimEvent::ProcessExits { sender, incarnation });
                 }
             }
             StepAction::Pause { sender } => {
-                self.hold(sender, Process::Up, Process::Paused, ProcessEvent::Paused)
+                self.switch_process(sender, Process::Up, Process::Paused, ProcessEvent::Paused)
             }
             StepAction::Continue { sender } => {
-                self.hold(sender, Process::Paused, Process::Up, ProcessEvent::Continued)
+                self.switch_process(sender, Process::Paused, Process::Up, ProcessEvent::Continued)
             }
-            StepAction::Start { sender, folder } => self.start(sender, folder, READY),
+            StepAction::Start { sender, folder } => self.start_process(sender, folder, STARTUP_SPAN),
             StepAction::Link { sender, link, kind, size, begins } => {
                 self.record(FactKind::LinkFault { sender, link, kind, begins });
-                if let Some(way) = self.links.get_mut(&(link, sender)) {
-                    way.condition.strike(kind, size, begins);
+                if let Some(link) = self.links.get_mut(&(link, sender)) {
+                    link.condition.strike(kind, size, begins);
                 }
                 if kind == EventKind::Break && link == Link::Endpoints {
-                    self.break_all(sender);
+                    self.break_sender_connections(sender);
                 }
                 if link == Link::Discovery {
-                    self.tell_lists();
+                    self.send_list_changes();
                 }
             }
-            // A sender takes the move up as it comes; in simulated time nothing is lost on the way.
+            // Only recorded: in simulated time a move interrupts nothing.
             StepAction::Discovery { kind: EventKind::DiscoveryMoves, .. } => {
                 self.record(FactKind::DiscoveryFault { kind: EventKind::DiscoveryMoves, begins: true });
             }
             StepAction::Discovery { kind: kind @ EventKind::DiscoveryResets, .. } => {
                 self.record(FactKind::DiscoveryFault { kind, begins: true });
-                self.list.forget();
-                self.tell_lists();
+                self.list.forget_history();
+                self.send_list_changes();
             }
-            // Watches that stand are no crowd: in simulated time whoever waits hears what there is to tell.
+            // Only recorded: in simulated time all watches are always open, and no request for the list is
+            // refused.
             StepAction::Discovery { kind: EventKind::DiscoveryCrowded, begins, .. } => {
                 self.record(FactKind::DiscoveryFault { kind: EventKind::DiscoveryCrowded, begins });
             }
             StepAction::Discovery { kind, begins, .. } => {
                 self.record(FactKind::DiscoveryFault { kind, begins });
                 match begins {
-                    true => self.discovery.push(kind),
-                    false => self.discovery.retain(|k| *k != kind),
+                    true => self.discovery_faults.push(kind),
+                    false => self.discovery_faults.retain(|k| *k != kind),
                 }
-                self.tell_lists();
+                self.send_list_changes();
             }
         }
     }
 
-    pub(super) fn hold(&mut self, sender: u32, from: Process, to: Process, life: ProcessEvent) {
-        let one = &mut self.senders[sender as usize];
-        if one.process != from {
+    /// Changes a process from one state to another; does nothing if it is in a third.
+    pub(super) fn switch_process(&mut self, sender: u32, from: Process, to: Process, event: ProcessEvent) {
+        let sender_state = &mut self.senders[sender as usize];
+        if sender_state.process != from {
             return;
         }
-        one.process = to;
-        self.record(FactKind::Process { sender, event: life });
-        // What came meanwhile is decided on now.
+        sender_state.process = to;
+        self.record(FactKind::Process { sender, event });
+        // The sender decides now on what it received while it was paused.
         if to == Process::Up {
-            self.senders[sender as usize].round = false;
-            self.rouse(sender);
+            self.senders[sender as usize].round_scheduled = false;
+            self.schedule_round(sender);
         }
     }
 
-    pub(super) fn reset_all(&mut self, dest: u32) {
+    /// Ends the idle connections of all senders to the endpoints of a destination.
+    pub(super) fn reset_destination(&mut self, dest: u32) {
         for endpoint in
             (0..self.plan.endpoints.len() as u32).filter(|e| self.plan.endpoints[*e as usize].dest == dest)
         {
-            self.reset(endpoint);
+            self.reset_connections(endpoint);
         }
     }
 
-    /// All connections of a sender to endpoints break.
-    pub(super) fn break_all(&mut self, sender: u32) {
+    /// Ends all connections of a sender to endpoints.
+    pub(super) fn break_sender_connections(&mut self, sender: u32) {
         let mut calls: Vec<CallNumber> =
             self.calls.iter().filter(|(_, c)| c.sender == sender).map(|(n, _)| *n).collect();
         calls.sort_unstable();
         for call in calls {
-            self.leave(call, Outcome::ConnectionLost);
+            self.cancel_call(call, Outcome::ConnectionLost);
         }
         for endpoint in 0..self.plan.endpoints.len() as u32 {
             self.pools.close(sender, endpoint);
--- a/crates/testbed/src/spec.rs
+++ b/crates/testbed/src/spec.rs
@@ -138,7 +138,8 @@
     pub honour: f64,
     /// Shortest and longest wait of the other second hand-ins, in milliseconds.
     pub backoff_ms: [f64; 2],
-    /// Shortest and longest wait before a message that got no answer is handed to another sender, in milliseconds.
+    /// Shortest and longest wait before a message that got no answer is handed to another sender, in
+    /// milliseconds.
     pub again_ms: [f64; 2],
     /// Peers a second that send no valid request.
     pub strangers: f64,
@@ -165,15 +166,15 @@
     pub memory_mb: u32,
     pub sockets: u32,
     pub disk_mb: f64,
-    /// How long a process may take to be ready, in seconds. After that it counts as never ready, and clients begin all
-    /// the same (DEPLOY, Limits).
+    /// How long a process may take to be ready, in seconds. After that it counts as never ready, and clients
+    /// begin all the same (DEPLOY, Limits).
     pub ready_s: f64,
     /// When what senders write to their journal has to be on disk (`store.sync` in their configuration).
     pub sync: Sync,
     /// Time between two syncs with `Sync::Interval`, in milliseconds.
     pub interval_ms: u64,
-    /// Seconds between two snapshots of what senders have learned. Without it a killed sender starts with nothing
-    /// learned.
+    /// Seconds between two snapshots of what senders have learned. Without it a killed sender starts with
+    /// nothing learned.
     pub learned_s: Option<u64>,
 }
 
@@ -218,7 +219,8 @@
     Slow,
     /// Destinations: the share `size` of answers is not sent, though the call took effect.
     LoseAnswers,
-    /// Destinations: the share `size` of calls takes effect, and then the connection is reset without an answer.
+    /// Destinations: the share `size` of calls takes effect, and then the connection is reset without an
+    /// answer.
     Reset,
     /// Destinations: the share `size` of answers is malformed.
     Spoil,
@@ -233,7 +235,8 @@
     Replace,
     /// Senders: SIGKILL, and a new start after `for`.
     Kill,
-    /// Senders: SIGTERM, SIGKILL 3.7 s later if the process is still there, and a new start after `for` from then.
+    /// Senders: SIGTERM, SIGKILL 3.7 s later if the process is still there, and a new start after `for` from
+    /// then.
     Terminate,
     /// Senders: SIGSTOP, and SIGCONT after `for`.
     Pause,
@@ -329,7 +332,8 @@
     Keep,
     /// Nothing: the machine was lost, and with it the messages that the sender held.
     Empty,
-    /// A copy of the next sender's current state, by mistake. After the sender has refused it, it finds its own again.
+    /// A copy of the next sender's current state, by mistake. After the sender has refused it, it finds its
+    /// own again.
     Another,
 }
 
@@ -344,7 +348,8 @@
     /// How long the event lasts, in seconds.
     #[serde(rename = "for", default)]
     pub duration_s: f64,
-    /// Strikes at least this share of the destinations' traffic, or of the senders. Which ones is drawn from the seed.
+    /// Strikes at least this share of the destinations' traffic, or of the senders. Which ones is drawn from
+    /// the seed.
     #[serde(default)]
     pub part: Option<f64>,
     /// Numbers of the destinations or senders that it strikes, in place of `part`.
@@ -385,7 +390,8 @@
         Ok(spec)
     }
 
-    /// Returns the experiment with one value changed, validated again. `assignment` has the form `traffic.rate=80`.
+    /// Returns the experiment with one value changed, validated again. `assignment` has the form
+    /// `traffic.rate=80`.
     pub fn set(&self, assignment: &str) -> Result<Spec, SpecError> {
         let invalid = |what: String| SpecError::Invalid { path: PathBuf::from(assignment), what };
         let (name, value) =
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -1,4 +1,5 @@
-//! Each rule of the judge: a ledger that keeps them all, and one edit of it for each rule that breaks just that one.
+//! Each rule of the judge: a ledger that keeps them all, and one edit of it for each rule that breaks just
+//! that one.
 use std::collections::BTreeSet;
 use testbed::clock::{Ns, MS, SECOND};
 use testbed::facts::{Fact, FactKind, HandInResult, Notice, ProcessEvent, Reply};
--- a/crates/testbed/tests/play.rs
+++ b/crates/testbed/tests/play.rs
@@ -29,8 +29,8 @@
     played.verdict.violations.iter().map(|b| b.rule).collect()
 }
 
-/// Kills with calls out, a restart, a pause, an outage, a replaced endpoint, discovery gone, crowded, reset and moved, strangers: the
-/// real senders keep all rules, and every fault shows in the facts.
+/// Kills with calls out, a restart, a pause, an outage, a replaced endpoint, discovery gone, crowded, reset
+/// and moved, strangers: the real senders keep all rules, and every fault shows in the facts.
 #[test]
 fn senders_keep_the_rules_through_faults() {
     let faults = "seconds = 12\nsenders = 3\nclients = { strangers = 4.0 }\n\
@@ -79,7 +79,8 @@
     assert_eq!(broken(&played), BTreeSet::from([Rule::Crash]));
 }
 
-/// A start that comes as the process before is still ending waits for its end, and one that finds a process leaves it.
+/// A start that comes as the process before is still ending waits for its end, and one that finds a process
+/// leaves it.
 #[test]
 fn restarts_without_a_pause_and_across_one_another_leave_one_process() {
     let text = "seconds = 3\nsenders = 2\n\
--- a/crates/testbed/tests/stub_servers.rs
+++ b/crates/testbed/tests/stub_servers.rs
@@ -39,8 +39,8 @@
     Arc::new(Plan::draw(&Spec::parse(Path::new("test.toml"), text).unwrap(), Seed(3)))
 }
 
-/// An endpoint that dies refuses connections; where somebody else has its port when it is to come back, the play is
-/// void, and no sender is blamed for it.
+/// An endpoint that dies refuses connections; where somebody else has its port when it is to come back, the
+/// play is void, and no sender is blamed for it.
 #[tokio::test]
 async fn an_address_that_was_taken_meanwhile_makes_the_play_void() {
     let plan = plan("senders = 1");
@@ -62,8 +62,8 @@
     drop(squatter);
 }
 
-/// A sender whose answers cross its clients' patience of 400 ms: each client hears once, and comes again under a new
-/// id where it had stopped listening. What the sender took on then is owed to nobody.
+/// A sender whose answers cross its clients' patience of 400 ms: each client hears once, and comes again
+/// under a new id where it had stopped listening. What the sender took on then is owed to nobody.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_client_that_comes_again_just_as_its_answer_arrives_has_one_message_each_time() {
     let plan = plan("seconds = 2\nsenders = 2\n[clients]\nagain_ms = [1.0, 2.0]");
