--- a/crates/cairnpulley/src/testbed.rs
+++ b/crates/cairnpulley/src/testbed.rs
@@ -57,7 +57,7 @@
     spec.seconds = seconds;
     for event in &mut spec.event {
         event.at *= by;
-        if !event.kind.get_ref().strikes_senders() {
+        if !event.kind.get_ref().affects_senders() {
             event.duration_s *= by;
         }
     }
--- a/crates/testbed/src/client_retry.rs
+++ b/crates/testbed/src/client_retry.rs
@@ -1,90 +1,100 @@
-//! What a client does with an answer, or with none: PROTOCOL and the brief, 8. Used on sockets and in
+//! How clients retry after an answer or without one (PROTOCOL, and brief, section 8). Used on sockets and in
 //! simulated time.
 use crate::clock::{Ns, MS, SECOND};
 use crate::spec::Clients;
 use rand::{Rng, RngExt};
 
-/// A message comes again so often at most that was not answered.
-const AGAIN: usize = 3;
-/// A message that has less time left is not handed in again.
-const LEAST: Ns = 100 * MS;
-/// Clients heed no longer time than this to come again after (`MaxRetryAfterNs`).
-pub const HEEDED: Ns = 2 * SECOND;
+/// How often a message that got no answer is handed in again at most.
+const MAX_UNANSWERED_RETRIES: usize = 3;
+/// A message with less time to its deadline is not handed in again.
+const MIN_TIME_LEFT: Ns = 100 * MS;
+/// Clients wait no longer than this for a `Retry-After` (`MaxRetryAfterNs` in the settings).
+pub const MAX_RETRY_AFTER: Ns = 2 * SECOND;
 
-/// What a message's `X-Second-Try` says.
+/// Whether a hand-in is the first of its message, for the header `X-Second-Try`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TryKind {
     First,
-    /// After a refusal.
+    /// A retry after a refusal.
     AfterRefusal,
-    /// After a sender that died or did not answer.
+    /// A retry after the sender did not answer or its process ended.
     AfterNoAnswer,
 }
 
-/// How a hand-in ended, with the time after which to come again, where one is told.
+/// How a hand-in ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandInEnd {
-    /// Taken on, and not handed back; or failed for good.
+    /// Accepted and not handed back, or failed without a retry.
     Final,
-    /// Refused, or handed back later.
+    /// Refused, or handed back later, with the time to wait before a retry if there is one.
     Refused(Option<Ns>),
     Unanswered,
 }
 
-/// One client with one message.
+/// The retries of one message by its client.
 #[derive(Clone, Debug)]
 pub struct RetryState {
-    /// Whom it asks next, and as what.
+    /// The sender to hand the message to next.
     pub sender: u32,
+    /// What that hand-in is.
     pub try_kind: TryKind,
     due: Ns,
-    retries: usize,
-    agains: usize,
+    refusal_retries_left: usize,
+    unanswered_retries_left: usize,
 }
 
 impl RetryState {
+    /// Creates the state before the first hand-in.
     pub fn new(sender: u32, due: Ns) -> RetryState {
-        RetryState { sender, try_kind: TryKind::First, due, retries: 1, agains: AGAIN }
+        RetryState {
+            sender,
+            try_kind: TryKind::First,
+            due,
+            refusal_retries_left: 1,
+            unanswered_retries_left: MAX_UNANSWERED_RETRIES,
+        }
     }
 
-    /// After how long it comes again, if it does; `senders` is how many there are.
-    pub fn next(
+    /// Returns how long the client waits before it hands the message in again, or `None` if it does not.
+    /// `senders` is the number of all senders.
+    pub fn next_wait(
         &mut self,
         end: HandInEnd,
         now: Ns,
         senders: u32,
-        habits: &Clients,
+        settings: &Clients,
         random: &mut impl Rng,
     ) -> Option<Ns> {
         let wait = match end {
             HandInEnd::Final => return None,
-            HandInEnd::Refused(told) => {
-                if self.retries == 0 || random.random::<f64>() >= habits.retry {
+            HandInEnd::Refused(retry_after) => {
+                if self.refusal_retries_left == 0 || random.random::<f64>() >= settings.retry {
                     return None;
                 }
-                self.retries -= 1;
+                self.refusal_retries_left -= 1;
                 self.try_kind = TryKind::AfterRefusal;
-                let own = draw(random, habits.backoff_ms);
-                let heeds = random.random::<f64>() < habits.honour;
-                told.filter(|_| heeds).map_or(own, |t| t.clamp(0, HEEDED))
+                let backoff = uniform_ms(random, settings.backoff_ms);
+                let honours = random.random::<f64>() < settings.honour;
+                retry_after.filter(|_| honours).map_or(backoff, |t| t.clamp(0, MAX_RETRY_AFTER))
             }
             HandInEnd::Unanswered => {
-                if self.agains == 0 {
+                if self.unanswered_retries_left == 0 {
                     return None;
                 }
-                self.agains -= 1;
+                self.unanswered_retries_left -= 1;
                 self.try_kind = TryKind::AfterNoAnswer;
                 if senders > 1 {
                     self.sender = (self.sender + random.random_range(1..senders)) % senders;
                 }
-                draw(random, habits.again_ms)
+                uniform_ms(random, settings.again_ms)
             }
         };
-        (now + wait + LEAST <= self.due).then_some(wait)
+        (now + wait + MIN_TIME_LEFT <= self.due).then_some(wait)
     }
 }
 
-fn draw(random: &mut impl Rng, [low, high]: [f64; 2]) -> Ns {
+/// Draws a time from a uniform distribution whose bounds are in milliseconds.
+fn uniform_ms(random: &mut impl Rng, [low, high]: [f64; 2]) -> Ns {
     ((low + (high - low) * random.random::<f64>()) * MS as f64) as Ns
 }
 
@@ -94,33 +104,36 @@
     use crate::seed::Seed;
 
     #[test]
-    fn a_refused_message_comes_once_more_and_an_unanswered_one_goes_to_others_until_its_time_is_up() {
-        let habits = Clients { retry: 1.0, honour: 1.0, ..Clients::default() };
+    fn retries_refused_message_once_and_unanswered_ones_at_other_senders() {
+        let settings = Clients { retry: 1.0, honour: 1.0, ..Clients::default() };
         let mut random = Seed(1).stream("habits", 0);
-        let mut client = RetryState::new(0, 20 * SECOND);
-        let told = HandInEnd::Refused(Some(700 * MS));
-        assert_eq!(client.next(told, 0, 3, &habits, &mut random), Some(700 * MS));
-        assert_eq!((client.sender, client.try_kind), (0, TryKind::AfterRefusal));
-        assert_eq!(client.next(told, SECOND, 3, &habits, &mut random), None, "once at most");
-        for _ in 0..AGAIN {
-            let before = client.sender;
-            let wait =
-                client.next(HandInEnd::Unanswered, SECOND, 3, &habits, &mut random).expect("it comes again");
+        let mut state = RetryState::new(0, 20 * SECOND);
+        let retry_after = HandInEnd::Refused(Some(700 * MS));
+        assert_eq!(state.next_wait(retry_after, 0, 3, &settings, &mut random), Some(700 * MS));
+        assert_eq!((state.sender, state.try_kind), (0, TryKind::AfterRefusal));
+        assert_eq!(
+            state.next_wait(retry_after, SECOND, 3, &settings, &mut random),
+            None,
+            "one retry at most"
+        );
+        for _ in 0..MAX_UNANSWERED_RETRIES {
+            let before = state.sender;
+            let wait = state
+                .next_wait(HandInEnd::Unanswered, SECOND, 3, &settings, &mut random)
+                .expect("the client retries");
             assert!((420 * MS..=1_900 * MS).contains(&wait));
-            assert!(
-                client.sender != before && client.sender < 3 && client.try_kind == TryKind::AfterNoAnswer
-            );
+            assert!(state.sender != before && state.sender < 3 && state.try_kind == TryKind::AfterNoAnswer);
         }
-        assert_eq!(client.next(HandInEnd::Unanswered, SECOND, 3, &habits, &mut random), None);
+        assert_eq!(state.next_wait(HandInEnd::Unanswered, SECOND, 3, &settings, &mut random), None);
         let mut late = RetryState::new(0, 20 * SECOND);
-        assert_eq!(late.next(HandInEnd::Unanswered, 19_900 * MS, 3, &habits, &mut random), None);
-        let longer = RetryState::new(0, 20 * SECOND).next(
+        assert_eq!(late.next_wait(HandInEnd::Unanswered, 19_900 * MS, 3, &settings, &mut random), None);
+        let capped = RetryState::new(0, 20 * SECOND).next_wait(
             HandInEnd::Refused(Some(9 * SECOND)),
             0,
             3,
-            &habits,
+            &settings,
             &mut random,
         );
-        assert_eq!(longer, Some(HEEDED));
+        assert_eq!(capped, Some(MAX_RETRY_AFTER));
     }
 }
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -42,7 +42,7 @@
     let mut clients = JoinSet::new();
     for (number, arrival) in plan.arrivals.iter().enumerate() {
         ground.clock.sleep_until(from + arrival.at).await;
-        ground.lag.note(from + arrival.at, ground.clock.now());
+        ground.lag.record(from + arrival.at, ground.clock.now());
         clients.spawn(shared.clone().client(number as u32, arrival.clone()));
         while clients.try_join_next().is_some() {}
     }
@@ -70,7 +70,7 @@
         loop {
             let end = self.hand_in(&mut random, request, &client, class, &handed).await;
             let (now, senders) = (self.ground.clock.now(), self.doors.len() as u32);
-            let Some(wait) = client.next(end, now, senders, &self.plan.spec.clients, &mut random) else {
+            let Some(wait) = client.next_wait(end, now, senders, &self.plan.spec.clients, &mut random) else {
                 return;
             };
             sleep(to_duration(wait)).await;
--- a/crates/testbed/src/clock.rs
+++ b/crates/testbed/src/clock.rs
@@ -1,23 +1,27 @@
-//! The one clock that judges: nanoseconds since the play's beginning, monotonic.
+//! The clock of a play: monotonic nanoseconds since its origin. All facts have their times from it.
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Nanoseconds since the play began, or a span of them.
+/// A time in nanoseconds on the clock of a play, or a span of time in nanoseconds.
 pub type Ns = i64;
+/// One millisecond.
 pub const MS: Ns = 1_000_000;
+/// One second.
 pub const SECOND: Ns = 1_000 * MS;
 
+/// A monotonic clock with an origin.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// A clock that reads zero at `origin`.
+    /// Creates a clock that reads zero at `origin`.
     pub fn new(origin: Instant) -> Clock {
         Clock { origin }
     }
 
+    /// Returns the current time; negative before the origin.
     pub fn now(&self) -> Ns {
         let now = Instant::now();
         match now.checked_duration_since(self.origin) {
@@ -26,7 +30,7 @@
         }
     }
 
-    /// The instant at which this clock reads `at`.
+    /// Returns the instant at which this clock reads `at`.
     pub fn instant(&self, at: Ns) -> Instant {
         if at >= 0 {
             self.origin + to_duration(at)
@@ -35,20 +39,23 @@
         }
     }
 
+    /// Sleeps until this clock reads `at`.
     pub async fn sleep_until(&self, at: Ns) {
         tokio::time::sleep_until(self.instant(at)).await;
     }
 }
 
+/// Converts a duration to nanoseconds.
 pub fn from_duration(span: Duration) -> Ns {
     Ns::try_from(span.as_nanos()).unwrap_or(Ns::MAX)
 }
 
-/// A span as the standard library has it; a negative one is none.
+/// Converts a span in nanoseconds to a duration; a negative one becomes zero.
 pub fn to_duration(ns: Ns) -> Duration {
     Duration::from_nanos(ns.max(0) as u64)
 }
 
-pub fn from_seconds(s: f64) -> Ns {
-    (s * SECOND as f64) as Ns
+/// Converts seconds to nanoseconds.
+pub fn from_seconds(seconds: f64) -> Ns {
+    (seconds * SECOND as f64) as Ns
 }
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,20 +1,22 @@
-//! Two sets of plays side by side: paired by seed, with confidence intervals, and a verdict in words.
+//! Compares two sets of plays: paired by seed, with confidence intervals and an assessment of each figure.
 use crate::play::Verdict;
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where the interval's upper bound lies: at 95% in all.
+/// Quantile of the upper bound of a two-sided 95% interval.
 const UPPER_QUANTILE: f64 = 0.975;
-/// Fewer pairs say nothing of their spread.
+/// Fewer pairs are not enough to estimate their spread.
 pub const MIN_PAIRS: usize = 3;
 
+/// Why two sets can't be compared.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum CompareError {
     #[error("only {0} seeds were played on both sides and not void; {MIN_PAIRS} at least are needed")]
     Pairs(usize),
 }
 
+/// How a figure of B compares to that of A.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Assessment {
@@ -25,6 +27,7 @@
 }
 
 impl Assessment {
+    /// Returns the text for tables.
     pub fn name(self) -> &'static str {
         match self {
             Assessment::Better => "better",
@@ -34,37 +37,42 @@
     }
 }
 
-/// One figure of the two sides.
+/// The comparison of one figure.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FigureComparison {
     pub figure: &'static str,
+    /// Mean of A.
     pub a: f64,
+    /// Mean of B.
     pub b: f64,
-    /// Of the mean difference, B less A: its bounds at 95%.
+    /// Bounds of the 95% confidence interval of the mean difference, B minus A.
     pub low: f64,
     pub high: f64,
-    /// Of B, as against A.
     #[serde(rename = "word")]
     pub assessment: Assessment,
 }
 
+/// The comparison of two sets of plays.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Comparison {
+    /// Number of seeds played on both sides.
     pub pairs: usize,
-    /// Seeds that were left out, as one side did not play them or its play is void.
+    /// Seeds left out because one side did not play them or its play is void.
     pub left_out: Vec<u64>,
-    /// Plays with a broken rule.
+    /// Number of plays with a violated rule: of A, and of B.
     pub broken: [usize; 2],
     pub lines: Vec<FigureComparison>,
 }
 
-/// A figure's name, how to read it, and whether more is better.
+/// The name of a figure, its function, and whether more is better.
 type Figure = (&'static str, fn(&Verdict) -> f64, bool);
 
+/// Returns a count as a share of all requests.
 fn share(verdict: &Verdict, count: usize) -> f64 {
     count as f64 / verdict.counts.asked.max(1) as f64
 }
 
+/// The compared figures.
 const FIGURES: [Figure; 8] = [
     ("service G", |v| v.service.g, true),
     ("worst 10 s", |v| v.service.worst_window, true),
@@ -94,7 +102,7 @@
         pairs: pairs.len(),
         left_out,
         broken: [broken(|p| !p.0.violations.is_empty()), broken(|p| !p.1.violations.is_empty())],
-        lines: FIGURES.iter().map(|figure| line(figure, &pairs)).collect(),
+        lines: FIGURES.iter().map(|figure| compare_figure(figure, &pairs)).collect(),
     })
 }
 
@@ -103,29 +111,33 @@
     values.sum::<f64>() / count
 }
 
-fn line((figure, of, more): &Figure, pairs: &[(&Verdict, &Verdict)]) -> FigureComparison {
-    let differences: Vec<f64> = pairs.iter().map(|(a, b)| of(b) - of(a)).collect();
+/// Compares one figure over all pairs.
+fn compare_figure(
+    (figure, value, more_is_better): &Figure,
+    pairs: &[(&Verdict, &Verdict)],
+) -> FigureComparison {
+    let differences: Vec<f64> = pairs.iter().map(|(a, b)| value(b) - value(a)).collect();
     let (low, high) = interval(&differences);
     let assessment = match (low > 0.0, high < 0.0) {
-        (true, _) if *more => Assessment::Better,
+        (true, _) if *more_is_better => Assessment::Better,
         (true, _) => Assessment::Worse,
-        (_, true) if *more => Assessment::Worse,
+        (_, true) if *more_is_better => Assessment::Worse,
         (_, true) => Assessment::Better,
         _ => Assessment::NotSignificant,
     };
-    let (a, b) = (mean(pairs.iter().map(|p| of(p.0))), mean(pairs.iter().map(|p| of(p.1))));
+    let (a, b) = (mean(pairs.iter().map(|p| value(p.0))), mean(pairs.iter().map(|p| value(p.1))));
     FigureComparison { figure, a, b, low, high, assessment }
 }
 
-/// Of the mean of paired differences, by Student's distribution.
+/// Returns the 95% confidence interval of the mean of paired differences, by Student's t distribution.
 fn interval(differences: &[f64]) -> (f64, f64) {
     let count = differences.len() as f64;
-    let middle = mean(differences.iter().copied());
-    let spread = differences.iter().map(|d| (d - middle).powi(2)).sum::<f64>() / (count - 1.0);
-    // Two differences at least, so there is a degree of freedom.
+    let center = mean(differences.iter().copied());
+    let variance = differences.iter().map(|d| (d - center).powi(2)).sum::<f64>() / (count - 1.0);
+    // There are at least two differences, so there is a degree of freedom.
     let t = StudentsT::new(0.0, 1.0, count - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(UPPER_QUANTILE));
-    let half = t * (spread / count).sqrt();
-    (middle - half, middle + half)
+    let half_width = t * (variance / count).sqrt();
+    (center - half_width, center + half_width)
 }
 
 #[cfg(test)]
@@ -154,8 +166,8 @@
     }
 
     #[test]
-    fn a_difference_is_told_from_the_seeds_spread_and_noise_is_not() {
-        // Seeds differ far more from one another than the sides do.
+    fn assesses_difference_but_not_noise() {
+        // The seeds differ far more than the sides.
         let by_seed = |seed: u64| 0.5 + seed as f64 * 0.05;
         let noise = |seed: u64| if seed.is_multiple_of(2) { 0.002 } else { -0.002 };
         let a = side(by_seed);
@@ -164,13 +176,13 @@
         assert_eq!(g(&side(|s| by_seed(s) + 0.01 + noise(s))).assessment, Assessment::Better);
         assert_eq!(g(&side(|s| by_seed(s) + noise(s))).assessment, Assessment::NotSignificant);
         assert_eq!(g(&a).assessment, Assessment::NotSignificant);
-        // Eight pairs of a spread of 0.002138: 2.365 of it over the root of eight.
+        // Eight pairs with a standard deviation of 0.002138: the half width is 2.365 * 0.002138 / sqrt(8).
         let line = g(&side(|s| by_seed(s) + noise(s)));
         assert!((line.high - 0.001_788).abs() < 1e-5 && (line.low + line.high).abs() < 1e-9, "{line:?}");
     }
 
     #[test]
-    fn void_plays_and_seeds_of_one_side_are_left_out_and_too_few_are_refused() {
+    fn leaves_out_unpaired_and_void_plays_and_refuses_too_few_pairs() {
         let a = side(|_| 0.5);
         let mut b = side(|_| 0.6);
         b[2].void = Some("late".into());
--- a/crates/testbed/src/endpoints.rs
+++ b/crates/testbed/src/endpoints.rs
@@ -1,5 +1,6 @@
-//! Endpoints on sockets: a listener for each sender and endpoint, so that the address tells who calls. What
-//! becomes of a call is decided by `platform::destination`; here it is carried out.
+//! Endpoints on sockets. Each pair of sender and endpoint has its own listener, so that the address tells
+//! which sender calls. `platform::destination` decides how calls are answered; this module reads the calls
+//! and writes the answers.
 use crate::addresses::{self, Door};
 use crate::clock::{Clock, Ns, MS};
 use crate::facts::{FactKind, FactLog, Reply};
@@ -21,86 +22,92 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-/// A message's time may be up so long before a call with it is told so.
-const OVER: Ns = 50 * MS;
-/// An address that can't be had again at once is tried for so long before the play is void.
-const REBIND: Duration = Duration::from_millis(50);
-const REBINDS: usize = 40;
+/// How long after its deadline a message is still accepted.
+const EXPIRY_GRACE: Ns = 50 * MS;
+/// Interval between attempts to listen again at an address that is in use.
+const REBIND_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of such attempts before the play is void.
+const REBIND_ATTEMPTS: usize = 40;
 
-/// What a listener and its connections do.
+/// State of a listener and its connections.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Phase {
     Up,
-    /// Connections are refused, and those that stood are reset.
+    /// New connections are refused, and open ones are reset.
     Down,
-    /// Nothing is read or answered; connections are reset when it is over.
+    /// Nothing is read or answered; connections are reset at the end of this phase.
     Silent,
 }
 
-/// What all stand-ins share.
+/// What all stub servers and clients share.
 #[derive(Clone)]
 pub struct StubContext {
     pub clock: Clock,
     pub fact_log: Arc<FactLog>,
     pub lag: Arc<SchedulingLag>,
     pub messages: Arc<MessageRegistry>,
-    /// Why the play says nothing of the senders, where something of the testbed's own went wrong.
+    /// Takes the reason if the play becomes void by a failure of the testbed itself.
     pub void: mpsc::UnboundedSender<String>,
 }
 
-struct Inner {
+/// State of a destination.
+struct State {
     core: Destination,
-    /// Where the calls that are out wait for what becomes of them.
+    /// By call in flight: where its task receives the outputs of `core`.
     waiting: HashMap<CallNumber, mpsc::UnboundedSender<Output>>,
 }
 
-struct Dest {
+/// A destination and the phases of its endpoints.
+struct DestinationStub {
     number: u32,
-    inner: Mutex<Inner>,
+    state: Mutex<State>,
     endpoints: Vec<u32>,
-    /// Whether an endpoint's process is there at all: not before it is listed, nor once it is gone.
+    /// By endpoint: whether its process exists, that is, it is listed and not yet gone.
     present: Vec<AtomicBool>,
     phases: Vec<watch::Sender<Phase>>,
 }
 
-struct Room {
-    /// Connections that an endpoint has, and the most that it takes.
+/// The connections of an endpoint and their limit.
+struct ConnectionLimit {
     connections: AtomicUsize,
-    most: usize,
+    max: usize,
 }
 
+/// All endpoints of a play.
 pub struct Endpoints {
-    dests: Vec<Arc<Dest>>,
+    dests: Vec<Arc<DestinationStub>>,
     /// By endpoint, then by sender.
     addresses: Vec<Vec<SocketAddr>>,
     dest_of: Vec<u32>,
-    ground: StubContext,
+    context: StubContext,
 }
 
-/// What a connection's task needs.
+/// An endpoint as one sender sees it; shared by the tasks of its listener and connections.
 #[derive(Clone)]
-struct Place {
-    dest: Arc<Dest>,
-    /// Among the destination's endpoints.
-    place: usize,
+struct EndpointStub {
+    dest: Arc<DestinationStub>,
+    /// Index among the destination's endpoints.
+    index: usize,
     endpoint: u32,
     sender: u32,
-    room: Arc<Room>,
-    /// Calls that the sender has out, at all endpoints, and its slots.
-    out: Arc<AtomicUsize>,
+    connection_limit: Arc<ConnectionLimit>,
+    /// Calls that the sender has in flight, over all endpoints.
+    calls_in_flight: Arc<AtomicUsize>,
+    /// Highest number of calls that the sender may have in flight.
     slots: usize,
     max_attempts: usize,
     handshake: Duration,
-    calls: Arc<AtomicU64>,
-    ground: StubContext,
+    /// Number of the next call, over all endpoints.
+    next_call: Arc<AtomicU64>,
+    context: StubContext,
 }
 
 impl Endpoints {
-    /// Listens at an address of its own for each endpoint and sender. Those not listed yet refuse
+    /// Listens at a separate address for each endpoint and sender. Endpoints that are not listed yet refuse
     /// connections.
-    pub fn start(plan: &Plan, links: &Links, ground: &StubContext) -> io::Result<Endpoints> {
-        let calls = Arc::new(AtomicU64::new(1));
-        let out: Vec<Arc<AtomicUsize>> = plan.senders.iter().map(|_| Arc::default()).collect();
+    pub fn start(plan: &Plan, links: &Links, context: &StubContext) -> io::Result<Endpoints> {
+        let next_call = Arc::new(AtomicU64::new(1));
+        let calls_in_flight: Vec<Arc<AtomicUsize>> = plan.senders.iter().map(|_| Arc::default()).collect();
         let mut dests = Vec::new();
         let mut addresses = vec![Vec::new(); plan.endpoints.len()];
         for (number, drawn) in plan.destinations.iter().enumerate() {
@@ -110,123 +117,125 @@
             let random = plan.seed.stream("destination", number as u64);
             let core = Destination::new(drawn, &endpoints, &plan.spec.platform, random);
             let phase = |e: &crate::plan::Endpoint| if e.listed { Phase::Up } else { Phase::Down };
-            let dest = Arc::new(Dest {
+            let dest = Arc::new(DestinationStub {
                 number: number as u32,
-                inner: Mutex::new(Inner { core, waiting: HashMap::new() }),
+                state: Mutex::new(State { core, waiting: HashMap::new() }),
                 endpoints: numbers.clone(),
                 present: endpoints.iter().map(|e| AtomicBool::new(e.listed)).collect(),
                 phases: endpoints.iter().map(|e| watch::Sender::new(phase(e))).collect(),
             });
-            for (place, (endpoint, drawn)) in numbers.iter().zip(&endpoints).enumerate() {
-                let most = drawn.connections.unwrap_or(usize::MAX);
-                let room = Arc::new(Room { connections: AtomicUsize::new(0), most });
-                for (sender, one) in plan.senders.iter().enumerate() {
+            for (index, (endpoint, drawn)) in numbers.iter().zip(&endpoints).enumerate() {
+                let max = drawn.connections.unwrap_or(usize::MAX);
+                let connection_limit = Arc::new(ConnectionLimit { connections: AtomicUsize::new(0), max });
+                for (sender, drawn_sender) in plan.senders.iter().enumerate() {
                     let at = addresses::free()?;
                     addresses[*endpoint as usize].push(links.front(Link::Endpoints, sender as u32, at)?);
-                    let place = Place {
+                    let stub = EndpointStub {
                         dest: dest.clone(),
-                        place,
+                        index,
                         endpoint: *endpoint,
                         sender: sender as u32,
-                        room: room.clone(),
-                        out: out[sender].clone(),
-                        slots: one.slots,
+                        connection_limit: connection_limit.clone(),
+                        calls_in_flight: calls_in_flight[sender].clone(),
+                        slots: drawn_sender.slots,
                         max_attempts: plan.terms.max_attempts,
                         handshake: Duration::from_secs_f64(plan.spec.platform.handshake_ms / 1_000.0),
-                        calls: calls.clone(),
-                        ground: ground.clone(),
+                        next_call: next_call.clone(),
+                        context: context.clone(),
                     };
-                    let first = drawn.listed.then(|| Door::open(at)).transpose()?;
-                    tokio::spawn(place.listen(at, first));
+                    let first_listener = drawn.listed.then(|| Door::open(at)).transpose()?;
+                    tokio::spawn(stub.listen(at, first_listener));
                 }
             }
             dests.push(dest);
         }
-        Ok(Endpoints { dests, addresses, dest_of: plan.terms.dest_of.clone(), ground: ground.clone() })
+        Ok(Endpoints { dests, addresses, dest_of: plan.terms.dest_of.clone(), context: context.clone() })
     }
 
-    /// Where a sender finds an endpoint.
+    /// Returns the address at which a sender reaches an endpoint.
     pub fn address(&self, endpoint: u32, sender: u32) -> SocketAddr {
         self.addresses[endpoint as usize][sender as usize]
     }
 
-    pub fn begin(&self, dest: u32, kind: EventKind, size: f64, until: Ns) {
+    /// Begins a fault of a destination.
+    pub fn begin_fault(&self, dest: u32, kind: EventKind, size: f64, until: Ns) {
         let dest = &self.dests[dest as usize];
-        dest.note(&self.ground, kind, true);
-        dest.with(&self.ground, |core, now| core.begin_fault(now, kind, size, until));
-        dest.show();
+        dest.record_fault(&self.context, kind, true);
+        dest.apply(&self.context, |core, now| core.begin_fault(now, kind, size, until));
+        dest.update_phases();
     }
 
-    pub fn end(&self, dest: u32, kind: EventKind) {
+    /// Ends a fault of a destination.
+    pub fn end_fault(&self, dest: u32, kind: EventKind) {
         let dest = &self.dests[dest as usize];
-        dest.note(&self.ground, kind, false);
-        dest.with(&self.ground, |core, now| {
+        dest.record_fault(&self.context, kind, false);
+        dest.apply(&self.context, |core, now| {
             core.end_fault(now, kind);
             Vec::new()
         });
-        dest.show();
+        dest.update_phases();
     }
 
-    /// An endpoint drains, is gone, or is there for the first time.
-    pub fn set(&self, endpoint: u32, lifecycle: Lifecycle) {
+    /// Lets an endpoint drain, removes it, or starts it for the first time.
+    pub fn set_lifecycle(&self, endpoint: u32, lifecycle: Lifecycle) {
         let dest = &self.dests[self.dest_of[endpoint as usize] as usize];
-        let Some(place) = dest.endpoints.iter().position(|e| *e == endpoint) else { return };
+        let Some(index) = dest.endpoints.iter().position(|e| *e == endpoint) else { return };
         match lifecycle {
             Lifecycle::Ready => {
-                dest.with(&self.ground, |core, now| {
-                    core.start_cold(now, place);
+                dest.apply(&self.context, |core, now| {
+                    core.start_cold(now, index);
                     Vec::new()
                 });
             }
-            Lifecycle::Terminating => dest.with(&self.ground, |core, now| {
-                core.drain(now, place);
+            Lifecycle::Terminating => dest.apply(&self.context, |core, now| {
+                core.drain(now, index);
                 Vec::new()
             }),
             Lifecycle::Gone => {}
         }
-        dest.present[place].store(lifecycle != Lifecycle::Gone, Ordering::SeqCst);
-        dest.show();
+        dest.present[index].store(lifecycle != Lifecycle::Gone, Ordering::SeqCst);
+        dest.update_phases();
     }
 }
 
-impl Dest {
-    fn note(&self, ground: &StubContext, kind: EventKind, begins: bool) {
-        ground.fact_log.record(FactKind::DestinationFault { dest: self.number, kind, begins });
+impl DestinationStub {
+    fn record_fault(&self, context: &StubContext, kind: EventKind, begins: bool) {
+        context.fact_log.record(FactKind::DestinationFault { dest: self.number, kind, begins });
     }
 
-    /// Lets the core act, and passes on what comes out.
-    fn with(&self, ground: &StubContext, act: impl FnOnce(&mut Destination, Ns) -> Vec<Output>) {
-        let mut inner = self.inner.lock().expect("no holder panics");
-        let outs = act(&mut inner.core, ground.clock.now());
-        let mut fell = false;
-        for out in outs {
-            let call = match out {
+    /// Applies an event to the destination and passes its outputs to the tasks of the calls.
+    fn apply(&self, context: &StubContext, act: impl FnOnce(&mut Destination, Ns) -> Vec<Output>) {
+        let mut state = self.state.lock().expect("no holder panics");
+        let outputs = act(&mut state.core, context.clock.now());
+        let mut overloaded = false;
+        for output in outputs {
+            let call = match output {
                 Output::Effect { call } => {
-                    ground.fact_log.record(FactKind::Effect { call });
+                    context.fact_log.record(FactKind::Effect { call });
                     continue;
                 }
                 Output::OverloadFailure { index } => {
-                    ground.fact_log.record(FactKind::OverloadFailure { endpoint: self.endpoints[index] });
-                    fell = true;
+                    context.fact_log.record(FactKind::OverloadFailure { endpoint: self.endpoints[index] });
+                    overloaded = true;
                     continue;
                 }
                 Output::Begin { call, .. } | Output::Answer { call, .. } => call,
             };
-            // Its connection may have ended by now.
-            let _ = inner.waiting.get(&call).map(|to| to.send(out));
+            // The call's connection may have ended already.
+            let _ = state.waiting.get(&call).map(|to| to.send(output));
         }
-        drop(inner);
-        if fell {
-            self.show();
+        drop(state);
+        if overloaded {
+            self.update_phases();
         }
     }
 
-    /// Brings listeners and connections in line with the core.
-    fn show(&self) {
-        let inner = self.inner.lock().expect("no holder panics");
-        for (place, phase) in self.phases.iter().enumerate() {
-            let down = !self.present[place].load(Ordering::SeqCst) || inner.core.is_down(place);
-            let next = match (down, inner.core.is_silent()) {
+    /// Updates the phases of all endpoints from the state of the destination.
+    fn update_phases(&self) {
+        let state = self.state.lock().expect("no holder panics");
+        for (index, phase) in self.phases.iter().enumerate() {
+            let down = !self.present[index].load(Ordering::SeqCst) || state.core.is_down(index);
+            let next = match (down, state.core.is_silent()) {
                 (true, _) => Phase::Down,
                 (false, true) => Phase::Silent,
                 (false, false) => Phase::Up,
@@ -236,9 +245,10 @@
     }
 }
 
-impl Place {
-    async fn listen(self, at: SocketAddr, mut first: Option<Door>) {
-        let mut phase = self.dest.phases[self.place].subscribe();
+impl EndpointStub {
+    /// Accepts connections until the play ends; listens only while the endpoint is not down.
+    async fn listen(self, at: SocketAddr, mut first_listener: Option<Door>) {
+        let mut phase = self.dest.phases[self.index].subscribe();
         loop {
             let now = *phase.borrow_and_update();
             if now == Phase::Down {
@@ -247,10 +257,10 @@
                 }
                 continue;
             }
-            let mut door = match first.take() {
-                Some(door) => door,
+            let mut listener = match first_listener.take() {
+                Some(listener) => listener,
                 None => match self.bind(at).await {
-                    Some(door) => door,
+                    Some(listener) => listener,
                     None => return,
                 },
             };
@@ -259,11 +269,11 @@
                 if now == Phase::Down {
                     break;
                 }
-                // Connections to a machine that says nothing never come up.
-                door.set_silent(now == Phase::Silent);
+                // A silent machine does not complete the handshake of new connections.
+                listener.set_silent(now == Phase::Silent);
                 tokio::select! {
                     changed = phase.changed() => if changed.is_err() { return },
-                    stream = door.accept(), if now == Phase::Up => {
+                    stream = listener.accept(), if now == Phase::Up => {
                         tokio::spawn(self.clone().serve(stream));
                     }
                 }
@@ -271,70 +281,73 @@
         }
     }
 
+    /// Listens at an address, with retries. After the last one it declares the play void.
     async fn bind(&self, at: SocketAddr) -> Option<Door> {
         let mut failed = None;
-        for _ in 0..REBINDS {
+        for _ in 0..REBIND_ATTEMPTS {
             match Door::open(at) {
-                Ok(door) => return Some(door),
+                Ok(listener) => return Some(listener),
                 Err(error) => failed = Some(error),
             }
-            sleep(REBIND).await;
+            sleep(REBIND_INTERVAL).await;
         }
         let why = failed.map_or_else(String::new, |e| e.to_string());
         let _ =
-            self.ground.void.send(format!("endpoint {} can't listen at {at} again: {why}", self.endpoint));
+            self.context.void.send(format!("endpoint {} can't listen at {at} again: {why}", self.endpoint));
         None
     }
 
+    /// Serves a connection until it ends.
     async fn serve(self, stream: TcpStream) {
-        let (held, _held) = Count::up(&self.room.connections);
-        self.ground.fact_log.record(FactKind::Connected { sender: self.sender, endpoint: self.endpoint });
-        let mut phase = self.dest.phases[self.place].subscribe();
-        let mut link = Connection::new(stream, self.ground.clock);
-        let crowded = held >= self.room.most;
+        let (before, _in_use) = InUse::increment(&self.connection_limit.connections);
+        self.context.fact_log.record(FactKind::Connected { sender: self.sender, endpoint: self.endpoint });
+        let mut phase = self.dest.phases[self.index].subscribe();
+        let mut connection = Connection::new(stream, self.context.clock);
+        let over_connection_limit = before >= self.connection_limit.max;
         let broken = tokio::select! {
             biased;
-            () = over(&mut phase) => true,
-            broken = self.exchange(&mut link, crowded) => broken,
+            () = reset_due(&mut phase) => true,
+            broken = self.serve_calls(&mut connection, over_connection_limit) => broken,
         };
         if broken {
-            link.reset();
+            connection.reset();
         }
     }
 
-    /// Reads and answers calls until the connection ends. True where it is to end with a reset.
-    async fn exchange(&self, link: &mut Connection, crowded: bool) -> bool {
+    /// Reads and answers calls until the connection ends. Returns true if it has to be reset.
+    async fn serve_calls(&self, connection: &mut Connection, over_connection_limit: bool) -> bool {
         let mut fresh = true;
         loop {
-            let request = match link.read_request().await {
+            let request = match connection.read_request().await {
                 Ok(request) => request,
                 Err(HttpError::Malformed(_)) => {
-                    let _ = link.write(&http::response(400, "Connection: close\r\n", b"")).await;
+                    let _ = connection.write(&http::response(400, "Connection: close\r\n", b"")).await;
                     return false;
                 }
                 Err(_) => return false,
             };
             let closes = request.closes();
-            let goes_on = match &request.start {
+            let reset = match &request.start {
                 Start::Request { method, path } if method == "POST" && path == "/v1/messages" => {
-                    self.call(link, &request, crowded, std::mem::take(&mut fresh)).await
+                    self.handle_call(connection, &request, over_connection_limit, std::mem::take(&mut fresh))
+                        .await
                 }
                 Start::Request { method, path }
                     if method == "GET" && (path == "/healthz" || path == "/load") =>
                 {
                     let (sender, endpoint) = (self.sender, self.endpoint);
-                    self.ground.fact_log.record(FactKind::Probed { sender, endpoint });
+                    self.context.fact_log.record(FactKind::Probed { sender, endpoint });
                     let mut serves = false;
-                    self.dest.with(&self.ground, |core, now| {
+                    self.dest.apply(&self.context, |core, now| {
                         serves = core.probe(now);
                         Vec::new()
                     });
                     let status = if serves { 200 } else { 503 };
-                    link.write(&http::response(status, "", b"")).await.is_ok().then_some(false)
+                    connection.write(&http::response(status, "", b"")).await.is_ok().then_some(false)
                 }
-                _ => link.write(&http::response(404, "", b"")).await.is_ok().then_some(false),
+                _ => connection.write(&http::response(404, "", b"")).await.is_ok().then_some(false),
             };
-            match goes_on {
+            match reset {
                 Some(false) if !closes => {}
                 Some(reset) => return reset,
                 None => return false,
@@ -342,22 +355,23 @@
         }
     }
 
-    /// One call. Whether the connection is to be reset, or none where it has ended or is to end.
-    async fn call(
+    /// Handles a call. Returns whether to reset the connection, or `None` if it has ended or has to be
+    /// closed.
+    async fn handle_call(
         &self,
-        link: &mut Connection,
+        connection: &mut Connection,
         request: &Message,
-        crowded: bool,
+        over_connection_limit: bool,
         fresh: bool,
     ) -> Option<bool> {
-        let ground = &self.ground;
+        let context = &self.context;
         let Some(id) = request.header("x-trace-id").and_then(messages::parse_id) else {
-            ground.fact_log.record(FactKind::CallWithoutId { sender: self.sender, endpoint: self.endpoint });
-            return link.write(&http::response(400, "", b"")).await.is_ok().then_some(false);
+            context.fact_log.record(FactKind::CallWithoutId { sender: self.sender, endpoint: self.endpoint });
+            return connection.write(&http::response(400, "", b"")).await.is_ok().then_some(false);
         };
-        let known = ground.messages.note_call(id, &request.body);
-        let number = self.calls.fetch_add(1, Ordering::Relaxed);
-        ground.fact_log.record(FactKind::CallReceived {
+        let known = context.messages.note_call(id, &request.body);
+        let number = self.next_call.fetch_add(1, Ordering::Relaxed);
+        context.fact_log.record(FactKind::CallReceived {
             call: number,
             message: id,
             sender: self.sender,
@@ -365,63 +379,77 @@
             first: request.first,
             intact: known.is_some_and(|k| k.intact),
         });
-        if fresh && !crowded {
+        if fresh && !over_connection_limit {
             sleep(self.handshake).await;
         }
-        let (out, held) = Count::up(&self.out);
+        let (in_flight, in_use) = InUse::increment(&self.calls_in_flight);
         let refusal = match known {
             None => Some(Refusal::UnknownMessage),
             Some(k) if k.dest != self.dest.number => Some(Refusal::UnknownMessage),
             Some(k) if k.attempts > self.max_attempts => Some(Refusal::Attempts),
-            Some(k) if ground.clock.now() > k.due + OVER => Some(Refusal::Expired),
-            _ if crowded => Some(Refusal::Connections),
-            _ if out >= self.slots => Some(Refusal::Slots),
+            Some(k) if context.clock.now() > k.due + EXPIRY_GRACE => Some(Refusal::Expired),
+            _ if over_connection_limit => Some(Refusal::Connections),
+            _ if in_flight >= self.slots => Some(Refusal::Slots),
             _ => None,
         };
         let answer = match (refusal, known) {
-            (None, Some(known)) => self.serve_call(link, number, known.work).await,
+            (None, Some(known)) => self.await_answer(connection, number, known.work).await,
             (refusal, _) => Some(Answer::Refused(refusal.unwrap_or(Refusal::UnknownMessage), None)),
         };
-        drop(held);
+        drop(in_use);
         let Some(answer) = answer else {
-            ground.fact_log.record(FactKind::CallAbandoned { call: number });
+            context.fact_log.record(FactKind::CallAbandoned { call: number });
             return None;
         };
-        self.answer(link, number, id, answer).await
+        self.write_answer(connection, number, id, answer).await
     }
 
-    /// Waits for what becomes of a call; none where its connection ended first.
-    async fn serve_call(&self, link: &mut Connection, number: CallNumber, work: Ns) -> Option<Answer> {
-        let (to, mut outs) = mpsc::unbounded_channel();
-        self.dest.inner.lock().expect("no holder panics").waiting.insert(number, to);
-        // Also where the task is dropped at a phase's end: the core has then ended the call by itself.
-        let _waiting = Waiting { dest: &self.dest, number };
-        let place = self.place;
-        self.dest.with(&self.ground, |core, now| core.arrive(now, Call { number, index: place, work }));
+    /// Passes a call to the destination and waits for its answer. Returns `None` if the connection ended
+    /// before.
+    async fn await_answer(
+        &self,
+        connection: &mut Connection,
+        number: CallNumber,
+        work: Ns,
+    ) -> Option<Answer> {
+        let (to, mut outputs) = mpsc::unbounded_channel();
+        self.dest.state.lock().expect("no holder panics").waiting.insert(number, to);
+        // Also removes the call if this task is dropped when the phase changes; the destination has then
+        // ended the call.
+        let _waiting = WaitingCall { dest: &self.dest, number };
+        let index = self.index;
+        self.dest.apply(&self.context, |core, now| core.arrive(now, Call { number, index, work }));
         let mut until = None;
         loop {
             tokio::select! {
                 biased;
-                out = outs.recv() => match out? {
+                output = outputs.recv() => match output? {
                     Output::Begin { until: at, .. } => until = Some(at),
                     Output::Answer { answer, .. } => return Some(answer),
                     Output::Effect { .. } | Output::OverloadFailure { .. } => {}
                 },
-                () = self.ground.clock.sleep_until(until.unwrap_or(Ns::MAX / 2)), if until.is_some() => {
-                    self.ground.lag.note(until.take().unwrap_or_default(), self.ground.clock.now());
-                    self.dest.with(&self.ground, |core, now| core.finish(now, place, number));
+                () = self.context.clock.sleep_until(until.unwrap_or(Ns::MAX / 2)), if until.is_some() => {
+                    self.context.lag.record(until.take().unwrap_or_default(), self.context.clock.now());
+                    self.dest.apply(&self.context, |core, now| core.finish(now, index, number));
                 }
-                () = link.closed() => {
-                    self.dest.with(&self.ground, |core, now| core.abandon(now, place, number));
+                () = connection.closed() => {
+                    self.dest.apply(&self.context, |core, now| core.abandon(now, index, number));
                     return None;
                 }
             }
         }
     }
 
-    async fn answer(&self, link: &mut Connection, call: CallNumber, id: u64, answer: Answer) -> Option<bool> {
-        let fact_log = &self.ground.fact_log;
-        let seconds = |w: Ns| format!("Retry-After: {:.3}\r\n", w as f64 / 1e9);
+    /// Writes the answer of a call. Returns the same as `handle_call`.
+    async fn write_answer(
+        &self,
+        connection: &mut Connection,
+        call: CallNumber,
+        id: u64,
+        answer: Answer,
+    ) -> Option<bool> {
+        let fact_log = &self.context.fact_log;
+        let retry_after = |w: Ns| format!("Retry-After: {:.3}\r\n", w as f64 / 1e9);
         let (bytes, reply) = match answer {
             Answer::Served => (http::response(200, "", b""), Reply::Delivered),
             Answer::Malformed => {
@@ -436,7 +464,7 @@
                     Refusal::Slots => (503, "X-Line-Busy: 1\r\n".to_string()),
                     Refusal::Connections => (503, "Connection: close\r\n".to_string()),
                     _ => match wait {
-                        Some(wait) => (429, seconds(wait)),
+                        Some(wait) => (429, retry_after(wait)),
                         None => (503, String::new()),
                     },
                 };
@@ -447,59 +475,58 @@
                 return Some(true);
             }
             Answer::NoAnswer => {
-                link.closed().await;
+                connection.closed().await;
                 fact_log.record(FactKind::CallAbandoned { call });
                 return None;
             }
         };
-        // Before it is written: what the sender does on it must not seem to come before it.
+        // Recorded before the write, so that what the sender does next can't be recorded earlier.
         fact_log.record(FactKind::Replied { call, reply });
-        if link.write(&bytes).await.is_err() {
+        if connection.write(&bytes).await.is_err() {
             fact_log.record(FactKind::Replied { call, reply: Reply::Broken });
             return None;
         }
         if reply == Reply::Delivered || matches!(reply, Reply::Refused { why: Refusal::Expired, .. }) {
-            self.ground.messages.note_ended(id);
+            self.context.messages.note_ended(id);
         }
-        let ends = matches!(answer, Answer::Malformed | Answer::Refused(Refusal::Connections, _));
-        (!ends).then_some(false)
+        let closes = matches!(answer, Answer::Malformed | Answer::Refused(Refusal::Connections, _));
+        (!closes).then_some(false)
     }
 }
 
-/// One more of something, until it is dropped: also where its task is.
-struct Count<'a>(&'a AtomicUsize);
+/// Counts one in a counter until it is dropped, also with its task.
+struct InUse<'a>(&'a AtomicUsize);
 
-impl Count<'_> {
-    /// How many there were before.
-    fn up(count: &AtomicUsize) -> (usize, Count<'_>) {
-        (count.fetch_add(1, Ordering::SeqCst), Count(count))
+impl InUse<'_> {
+    /// Increments the counter and returns its value before.
+    fn increment(count: &AtomicUsize) -> (usize, InUse<'_>) {
+        (count.fetch_add(1, Ordering::SeqCst), InUse(count))
     }
 }
 
-impl Drop for Count<'_> {
+impl Drop for InUse<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// Takes a call's place among those that wait away, however its wait ends.
-struct Waiting<'a> {
-    dest: &'a Dest,
+/// Removes a call from `State::waiting` when it is dropped.
+struct WaitingCall<'a> {
+    dest: &'a DestinationStub,
     number: CallNumber,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingCall<'_> {
     fn drop(&mut self) {
-        if let Ok(mut inner) = self.dest.inner.lock() {
-            inner.waiting.remove(&self.number);
+        if let Ok(mut state) = self.dest.state.lock() {
+            state.waiting.remove(&self.number);
         }
     }
 }
 
-/// Ends once a connection of this phase has to be reset. While the endpoint is silent nothing else happens on
-/// it.
-async fn over(phase: &mut watch::Receiver<Phase>) {
-    // A connection that was taken just as the endpoint fell silent is as silent as the others.
+/// Waits until a connection has to be reset: when the endpoint goes down, or after it was silent.
+async fn reset_due(phase: &mut watch::Receiver<Phase>) {
+    // A connection may have been accepted just before the endpoint became silent.
     let mut now = *phase.borrow_and_update();
     loop {
         match now {
--- a/crates/testbed/src/facts.rs
+++ b/crates/testbed/src/facts.rs
@@ -116,10 +116,18 @@
         #[serde(rename = "heard")]
         result: HandInResult,
     },
-    /// The last byte of a call was received, and the first one at `first`; `intact` if its body is the
-    /// client's.
+    /// A call was received completely.
     #[serde(rename = "called")]
-    CallReceived { call: CallNumber, message: MessageId, sender: u32, endpoint: u32, first: Ns, intact: bool },
+    CallReceived {
+        call: CallNumber,
+        message: MessageId,
+        sender: u32,
+        endpoint: u32,
+        /// When its first byte was received.
+        first: Ns,
+        /// Its body is that of the client.
+        intact: bool,
+    },
     /// A call had no message id in the protocol's form.
     #[serde(rename = "nameless")]
     CallWithoutId { sender: u32, endpoint: u32 },
--- a/crates/testbed/src/http.rs
+++ b/crates/testbed/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 messages for the stand-ins, which have to see when bytes come and to break off where they please.
-//! Heads are read by `httparse`; bodies have a length.
+//! A minimal HTTP/1.1 connection for the stub servers and clients, which need the times of bytes and the
+//! control over how a connection ends. `httparse` parses the heads; bodies need a `Content-Length`.
 use crate::clock::{Clock, Ns};
 use bytes::{Buf, BytesMut};
 use std::io;
@@ -8,38 +8,43 @@
 use tokio::net::TcpStream;
 
 const MAX_HEADERS: usize = 64;
+/// Longest head in bytes.
 const MAX_HEAD: usize = 16 << 10;
+/// Longest body in bytes.
 const MAX_BODY: usize = 4 << 20;
 
+/// Why a message can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
     #[error("the connection ended")]
     Ended,
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("not HTTP/1.1: {0}")]
+    #[error("malformed HTTP/1.1 message: {0}")]
     Malformed(String),
 }
 
 impl HttpError {
-    /// The peer ended the connection, orderly or not.
+    /// Returns true if the connection ended, by a close or an error.
     pub fn is_disconnect(&self) -> bool {
         !matches!(self, HttpError::Malformed(_))
     }
 }
 
-/// A request or an answer as it was read.
+/// A request or response.
 #[derive(Debug)]
 pub struct Message {
-    /// `POST /v1/messages`, or the status.
+    /// The request line or the status.
     pub start: Start,
     headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// When its first and its last byte had been read.
+    /// When the first byte had been read.
     pub first: Ns,
+    /// When the last byte had been read.
     pub last: Ns,
 }
 
+/// The start line of a message.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Start {
     Request { method: String, path: String },
@@ -47,23 +52,25 @@
 }
 
 impl Message {
-    /// The first header of that name, in whatever case.
+    /// Returns the first header of a name, which is not case-sensitive.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
+    /// Returns true if the message has `Connection: close`.
     pub fn closes(&self) -> bool {
         self.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"))
     }
 }
 
-/// One connection with what was read ahead on it.
+/// A connection with the bytes that were read ahead.
 pub struct Connection {
     stream: TcpStream,
     buffer: BytesMut,
     clock: Clock,
 }
 
+/// A parsed head: its own length, its start line and headers, and the length of the body that follows.
 struct Head {
     length: usize,
     start: Start,
@@ -72,22 +79,25 @@
 }
 
 impl Connection {
+    /// Wraps a stream; times are read from `clock`.
     pub fn new(stream: TcpStream, clock: Clock) -> Connection {
-        // Heads and bodies go out in one write each; waiting for more would only delay them.
+        // Each message is sent in one write, which Nagle's algorithm would only delay.
         let _ = stream.set_nodelay(true);
         Connection { stream, buffer: BytesMut::new(), clock }
     }
 
+    /// Reads a request.
     pub async fn read_request(&mut self) -> Result<Message, HttpError> {
         self.read(request_head).await
     }
 
-    /// Reads an answer; `HttpError::Ended` where the connection ends before its first byte.
+    /// Reads a response. Returns `HttpError::Ended` if the connection is closed before the response is
+    /// complete.
     pub async fn read_response(&mut self) -> Result<Message, HttpError> {
         self.read(response_head).await
     }
 
-    /// Bytes that came and were not taken as a message.
+    /// Returns the bytes that were read beyond the last message.
     pub fn unread(&self) -> &[u8] {
         &self.buffer
     }
@@ -103,7 +113,10 @@
         loop {
             if let Some(head) = parse(&self.buffer)? {
                 if head.body > MAX_BODY {
-                    return Err(HttpError::Malformed(format!("a body of {} bytes", head.body)));
+                    return Err(HttpError::Malformed(format!(
+                        "a body of {} bytes, and at most {MAX_BODY} are allowed",
+                        head.body
+                    )));
                 }
                 while self.buffer.len() < head.length + head.body {
                     self.read_more().await?;
@@ -114,12 +127,13 @@
                 return Ok(Message { start: head.start, headers: head.headers, body, first, last });
             }
             if self.buffer.len() > MAX_HEAD {
-                return Err(HttpError::Malformed("headers without end".into()));
+                return Err(HttpError::Malformed("the head is too long".into()));
             }
             self.read_more().await?;
         }
     }
 
+    /// Reads some bytes into the buffer.
     async fn read_more(&mut self) -> Result<(), HttpError> {
         match self.stream.read_buf(&mut self.buffer).await? {
             0 => Err(HttpError::Ended),
@@ -127,47 +141,53 @@
         }
     }
 
-    /// Ends once the peer has ended the connection. What it sends meanwhile is kept for the next message.
+    /// Waits until the peer has closed the connection. Bytes that arrive before are kept for the next
+    /// message.
     pub async fn closed(&mut self) {
         while self.buffer.len() <= MAX_HEAD && self.read_more().await.is_ok() {}
     }
 
+    /// Writes all bytes.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Ends the connection with a reset instead of an orderly end.
+    /// Ends the connection with a reset instead of a close.
     pub fn reset(self) {
-        // Without it the connection merely ends, which the peer sees as broken all the same.
+        // If this fails the connection is closed, which the peer sees as broken too.
         let _ = self.stream.set_zero_linger();
     }
 }
 
-/// Whether a sender answers `GET /healthz` with 200.
+/// Returns true if a sender answers `GET /healthz` with 200.
 pub async fn is_ready(at: SocketAddr, clock: Clock) -> bool {
     let Ok(stream) = TcpStream::connect(at).await else { return false };
-    let mut link = Connection::new(stream, clock);
-    let ask = b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    link.write(ask).await.is_ok()
-        && matches!(link.read_response().await, Ok(Message { start: Start::Status(200), .. }))
+    let mut connection = Connection::new(stream, clock);
+    let request = b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    connection.write(request).await.is_ok()
+        && matches!(connection.read_response().await, Ok(Message { start: Start::Status(200), .. }))
 }
 
+/// Returns the headers and the length of the body.
 fn headers(parsed: &[httparse::Header]) -> Result<(Vec<(String, String)>, usize), HttpError> {
     let mut body = 0;
     let mut all = Vec::with_capacity(parsed.len());
     for header in parsed {
         let value = String::from_utf8_lossy(header.value).trim().to_string();
         if header.name.eq_ignore_ascii_case("content-length") {
-            body = value.parse().map_err(|_| HttpError::Malformed(format!("a length of {value}")))?;
+            body = value
+                .parse()
+                .map_err(|_| HttpError::Malformed(format!("Content-Length is not a number: {value}")))?;
         }
         if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            return Err(HttpError::Malformed(format!("a body in the form {value}")));
+            return Err(HttpError::Malformed(format!("Transfer-Encoding is not supported: {value}")));
         }
         all.push((header.name.to_string(), value));
     }
     Ok((all, body))
 }
 
+/// Parses the head of a request. Returns `None` if it is incomplete.
 fn request_head(bytes: &[u8]) -> Result<Option<Head>, HttpError> {
     let mut parsed = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut parsed);
@@ -179,17 +199,18 @@
     Ok(Some(Head { length, start, headers, body }))
 }
 
+/// Parses the head of a response. Returns `None` if it is incomplete.
 fn response_head(bytes: &[u8]) -> Result<Option<Head>, HttpError> {
     let mut parsed = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut answer = httparse::Response::new(&mut parsed);
-    let status = answer.parse(bytes).map_err(|e| HttpError::Malformed(e.to_string()))?;
+    let mut response = httparse::Response::new(&mut parsed);
+    let status = response.parse(bytes).map_err(|e| HttpError::Malformed(e.to_string()))?;
     let httparse::Status::Complete(length) = status else { return Ok(None) };
-    let start = Start::Status(answer.code.unwrap_or_default());
-    let (headers, body) = headers(answer.headers)?;
+    let start = Start::Status(response.code.unwrap_or_default());
+    let (headers, body) = headers(response.headers)?;
     Ok(Some(Head { length, start, headers, body }))
 }
 
-/// An answer as bytes. `headers` are whole lines, each with its end.
+/// Encodes a response. `headers` holds complete header lines, each with its CRLF.
 pub fn response(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
--- a/crates/testbed/src/judge/rules.rs
+++ b/crates/testbed/src/judge/rules.rs
@@ -204,8 +204,8 @@
         }
         if knowing * 3 >= all * 2 {
             let what = format!(
-                "endpoint {endpoint} failed under {all} calls within {} s, {knowing} of them from senders that had \
-                 seen its destination fail",
+                "endpoint {endpoint} failed under {all} calls within {} s, \
+                 {knowing} of them from senders that had seen its destination fail",
                 index.terms.overload_window / SECOND
             );
             found.push((*at, what));
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,8 +1,11 @@
-//! Proving ground: the platform's stand-ins on loopback round real senders, with faults, load and a judge.
+//! The testbed: plays experiments against real senders on loopback, or against the decision module in
+//! simulated time.
 //!
-//! `docs/design/proving-ground.md` says what is promised. The cores (`platform`, `judge`, `score`, `plan`)
-//! take time and randomness as arguments; `endpoints`, `discovery`, `clients`, `strangers` and `process` are
-//! the sockets and processes that feed them; `play` puts them together.
+//! A play has a stub platform, clients, faults and a judge; `docs/design/proving-ground.md` says what is
+//! checked. `spec` reads an experiment, and `plan` draws all of a play from it and a seed. `platform`,
+//! `judge` and `score` are pure logic that takes time and randomness as arguments. `endpoints`, `discovery`,
+//! `clients`, `strangers` and `process` are the sockets and processes around it, and `play` runs them; `sim`
+//! plays in simulated time. `scale` and `capacity` measure large deployments.
 pub mod addresses;
 pub mod capacity;
 pub mod client_retry;
--- a/crates/testbed/src/messages.rs
+++ b/crates/testbed/src/messages.rs
@@ -1,5 +1,5 @@
-//! What the stand-ins know of each other's messages: clients enter what they hand in, endpoints check calls
-//! against it, and discovery passes notices on to the clients.
+//! The registry of messages, shared by the stub servers and clients: clients register what they hand in,
+//! endpoints check calls against it, and discovery passes notices on to the clients.
 use crate::clock::Ns;
 use crate::facts::MessageId;
 use rand::Rng;
@@ -7,7 +7,7 @@
 use std::sync::Mutex;
 use tokio::sync::oneshot;
 
-/// A message as its client hands it in.
+/// A message to be registered.
 pub struct NewMessage {
     pub dest: u32,
     pub work: Ns,
@@ -21,55 +21,59 @@
     due: Ns,
     checksum: u32,
     attempts: usize,
-    taken: bool,
+    accepted: bool,
     ended: bool,
-    /// Wakes the client with the time after which it may come again, if that is told.
-    back: Option<oneshot::Sender<Option<Ns>>>,
+    /// Tells the client that its message was handed back, with the time to wait before a retry if there is
+    /// one.
+    on_handed_back: Option<oneshot::Sender<Option<Ns>>>,
 }
 
-/// What an endpoint needs of a message that it is called with.
+/// What an endpoint needs to know of the message of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct CalledMessage {
     pub dest: u32,
     pub work: Ns,
     pub due: Ns,
+    /// The body of the call is that of the client.
     pub intact: bool,
-    /// Calls so far, this one included.
+    /// Number of calls so far, including this one.
     pub attempts: usize,
 }
 
+/// All messages that were handed in, by id.
 #[derive(Default)]
 pub struct MessageRegistry {
     entries: Mutex<HashMap<MessageId, Entry>>,
 }
 
+/// Formats an id as the protocol has it.
 pub fn format_id(id: MessageId) -> String {
     format!("{id:016x}")
 }
 
-/// An id in the form of the protocol: sixteen digits in lower hex.
+/// Parses an id in the form of the protocol: sixteen lower-case hexadecimal digits.
 pub fn parse_id(name: &str) -> Option<MessageId> {
     let digits = name.len() == 16 && name.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
     digits.then(|| MessageId::from_str_radix(name, 16).ok()).flatten()
 }
 
 impl MessageRegistry {
-    /// Enters a message under a new id. The receiver hears of its being handed back.
+    /// Registers a message under a new id. The receiver gets a value if the message is handed back.
     pub fn register(
         &self,
         random: &mut impl Rng,
-        handed: &NewMessage,
+        message: &NewMessage,
     ) -> (MessageId, oneshot::Receiver<Option<Ns>>) {
-        let (back, handed_back) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let entry = Entry {
-            dest: handed.dest,
-            work: handed.work,
-            due: handed.due,
-            checksum: crc32fast::hash(&handed.body),
+            dest: message.dest,
+            work: message.work,
+            due: message.due,
+            checksum: crc32fast::hash(&message.body),
             attempts: 0,
-            taken: false,
+            accepted: false,
             ended: false,
-            back: Some(back),
+            on_handed_back: Some(sender),
         };
         let mut entries = self.entries();
         let id = loop {
@@ -79,13 +83,14 @@
             }
         };
         entries.insert(id, entry);
-        (id, handed_back)
+        (id, receiver)
     }
 
     fn entries(&self) -> std::sync::MutexGuard<'_, HashMap<MessageId, Entry>> {
         self.entries.lock().expect("no holder panics")
     }
 
+    /// Counts a call and checks its body. Returns `None` if no message has this id.
     pub fn note_call(&self, id: MessageId, body: &[u8]) -> Option<CalledMessage> {
         let mut entries = self.entries();
         let entry = entries.get_mut(&id)?;
@@ -95,32 +100,33 @@
         Some(CalledMessage { dest, work, due, intact, attempts })
     }
 
-    /// Its client has heard that it is taken on.
+    /// Marks a message of which the client learned that it was accepted.
     pub fn note_accepted(&self, id: MessageId) {
         if let Some(entry) = self.entries().get_mut(&id) {
-            entry.taken = true;
+            entry.accepted = true;
         }
     }
 
-    /// It was delivered, or given up.
+    /// Marks a message that was delivered or given up.
     pub fn note_ended(&self, id: MessageId) {
         if let Some(entry) = self.entries().get_mut(&id) {
             entry.ended = true;
-            entry.back = None;
+            entry.on_handed_back = None;
         }
     }
 
+    /// Marks a message that was handed back and tells its client.
     pub fn note_handed_back(&self, id: MessageId, retry_in: Option<Ns>) {
         if let Some(entry) = self.entries().get_mut(&id) {
             entry.ended = true;
-            // Gone where the client has stopped waiting for it.
-            let _ = entry.back.take().map(|back| back.send(retry_in));
+            // The receiver is gone if the client has stopped waiting.
+            let _ = entry.on_handed_back.take().map(|sender| sender.send(retry_in));
         }
     }
 
-    /// Messages that were taken on and have no end, and whose time is not long up.
+    /// Counts accepted messages that have not ended and whose deadline passed less than `grace` ago.
     pub fn count_open(&self, now: Ns, grace: Ns) -> usize {
-        self.entries().values().filter(|e| e.taken && !e.ended && now < e.due + grace).count()
+        self.entries().values().filter(|e| e.accepted && !e.ended && now < e.due + grace).count()
     }
 }
 
@@ -129,7 +135,7 @@
     use super::*;
 
     #[test]
-    fn ids_are_read_in_their_one_form() {
+    fn parses_only_protocol_form_of_id() {
         assert_eq!(parse_id(&format_id(0x9b1f_03aa_5c7e_2d41)), Some(0x9b1f_03aa_5c7e_2d41));
         assert_eq!(format_id(7), "0000000000000007");
         for bad in ["", "7", "9B1F03AA5C7E2D41", "+b1f03aa5c7e2d41", "9b1f03aa5c7e2d411"] {
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -237,7 +237,12 @@
 
     /// Returns true if the schedule has a step for a link of a sender.
     pub fn has_link_events(&self, link: Link, sender: u32) -> bool {
-        let is_for_link = |s: &Step| matches!(s.action, StepAction::Link { sender: n, link: l, .. } if n == sender && l == link);
+        let is_for_link = |s: &Step| {
+            matches!(
+                s.action,
+                StepAction::Link { sender: n, link: l, .. } if n == sender && l == link
+            )
+        };
         self.schedule.iter().any(is_for_link)
     }
 
@@ -377,7 +382,7 @@
         .collect()
 }
 
-/// An event with the numbers of the destinations or senders that it strikes.
+/// An event with the numbers of the destinations or senders that it affects.
 struct DrawnEvent<'a> {
     event: &'a Event,
     kind: EventKind,
@@ -386,7 +391,7 @@
     numbers: Vec<u32>,
 }
 
-/// Draws which destinations or senders each event strikes.
+/// Draws which destinations or senders each event affects.
 fn draw_events<'a>(
     spec: &'a Spec,
     seed: Seed,
@@ -396,9 +401,9 @@
     let one = |(i, event): (usize, &'a Event)| {
         let kind = *event.kind.get_ref();
         let weights: Vec<f64> = match kind {
-            _ if kind.strikes_discovery() => Vec::new(),
+            _ if kind.affects_discovery() => Vec::new(),
             // `part` is a share of the number of senders, whatever their traffic.
-            _ if kind.strikes_senders() => vec![1.0 / senders.len() as f64; senders.len()],
+            _ if kind.affects_senders() => vec![1.0 / senders.len() as f64; senders.len()],
             _ => dests.iter().map(|d| d.share).collect(),
         };
         let at = from_seconds(event.at);
@@ -431,7 +436,7 @@
     let mut steps = Vec::new();
     for s in events {
         let mut step = |at: Ns, action: StepAction| steps.push(Step { at, action });
-        if s.kind.strikes_discovery() {
+        if s.kind.affects_discovery() {
             let size = s.event.size.unwrap_or(1.0);
             step(s.at, StepAction::Discovery { kind: s.kind, size, begins: true });
             if !s.kind.is_instantaneous() {
@@ -441,7 +446,7 @@
         }
         for &number in &s.numbers {
             match s.kind {
-                kind if kind.strikes_links() => {
+                kind if kind.affects_links() => {
                     let Some(link) = s.event.link else { continue };
                     let size = s.event.size.unwrap_or(1.0);
                     let does = |begins| StepAction::Link { sender: number, link, kind, size, begins };
@@ -699,7 +704,7 @@
     }
 
     #[test]
-    fn events_strike_configured_part_and_end() {
+    fn events_affect_configured_part_and_end() {
         let text = "[[event]]\nwhat = 'shut'\nat = 5\nfor = 7\npart = 0.2\n[[event]]\nwhat = 'kill'\nat = 9\nfor = 1\npart = 0.5";
         let plan = Plan::draw(&spec(text), Seed(11));
         let begun = |s: &&Step| matches!(s.action, StepAction::Begin { .. });
--- a/crates/testbed/src/platform/list.rs
+++ b/crates/testbed/src/platform/list.rs
@@ -117,11 +117,11 @@
         list.set(1, Lifecycle::Terminating);
         list.set(1, Lifecycle::Gone);
         list.set(2, Lifecycle::Ready);
-        let told = list.since(Some(1));
-        assert!(!told.reset);
+        let update = list.since(Some(1));
+        assert!(!update.reset);
         let gone = Entry { endpoint: 1, lifecycle: Lifecycle::Gone };
         let new = Entry { endpoint: 2, lifecycle: Lifecycle::Ready };
-        assert_eq!(told.entries, [gone, new]);
+        assert_eq!(update.entries, [gone, new]);
         assert_eq!(list.since(Some(3)).entries, [new]);
         assert_eq!(list.since(Some(4)).entries, []);
         assert!(list.since(Some(9)).reset, "a generation that this list has not reached");
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -1,4 +1,5 @@
-//! One play: the stand-ins, the senders, the schedule, the clients; then the verdict.
+//! Runs a play: starts the stub servers and the senders, follows the schedule, runs the clients, and judges
+//! the facts.
 use crate::clients;
 use crate::clock::{Clock, Ns, MS, SECOND};
 use crate::discovery::Discovery;
@@ -24,22 +25,25 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long after its time the end of a message is still waited for.
-const GRACE: Ns = 2 * SECOND;
-/// SIGKILL comes so long after SIGTERM at the end of a play.
-const ENDS_WITHIN: Duration = Duration::from_millis(3_700);
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// How long after its deadline the end of a message is still waited for.
+const END_GRACE: Ns = 2 * SECOND;
+/// Time from SIGTERM to SIGKILL at the end of a play.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3_700);
+/// How often progress is reported and the end of all messages is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
+/// Why a play can't be run.
 #[derive(Debug, thiserror::Error)]
 pub enum PlayError {
-    #[error("the platform's stand-ins can't listen: {0}")]
+    #[error("the stub servers can't listen: {0}")]
     Listen(#[from] io::Error),
     #[error(transparent)]
     Process(#[from] ProcessError),
     #[error(
-        "{senders} senders need more descriptors than there are: about {holds} can be played (ulimit -n)"
+        "{senders} senders need more file descriptors than the limit allows (ulimit -n); \
+         it is enough for about {max_senders} senders"
     )]
-    Descriptors { senders: usize, holds: usize },
+    Descriptors { senders: usize, max_senders: usize },
     #[error("the machine can't be measured: {0}")]
     Machine(io::Error),
 }
@@ -47,14 +51,15 @@
 /// How far a play is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
+    /// Senders are starting; `ready` of them are ready.
     Starting {
         ready: usize,
     },
-    /// Clients hand messages in: since when, on the play's clock.
+    /// Clients have been handing in messages for the time `at`.
     Playing {
         at: Ns,
     },
-    /// Messages that were taken on and have no end yet.
+    /// Clients have finished; `open` accepted messages have not ended.
     Ending {
         open: usize,
     },
@@ -64,7 +69,7 @@
 /// The outcome of a play, as `--json` prints it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Version of this form.
+    /// Version of this format.
     pub schema: u32,
     pub title: String,
     pub seed: u64,
@@ -72,147 +77,163 @@
     pub counts: Counts,
     pub service: Service,
     pub latency: Latency,
-    /// All breaks of rules; none if all promises were kept.
+    /// All violations of rules.
     #[serde(rename = "breaks")]
     pub violations: Vec<Violation>,
-    /// Why the play says nothing of the senders, if it does not.
+    /// Why the play is void, that is, its result doesn't depend on the senders alone. `None` if it is valid.
     pub void: Option<String>,
-    /// How late the testbed itself was, in milliseconds.
+    /// 99th percentile of how late the testbed did what was due at a time, in milliseconds.
     pub lateness_p99_ms: f64,
-    /// About how many senders of this traffic each the machine can hold; none in simulated time.
+    /// Estimate of how many senders with this traffic the machine can run; `None` in simulated time.
     #[serde(rename = "holds")]
     pub max_senders: Option<usize>,
 }
 
+/// Version of the format of a verdict.
 pub const VERDICT_SCHEMA: u32 = 1;
 
 impl Verdict {
+    /// Returns true if the play is valid and no rule was violated.
     pub fn kept(&self) -> bool {
         self.void.is_none() && self.violations.is_empty()
     }
 }
 
+/// The outcome of a play with its facts.
 pub struct Played {
     pub verdict: Verdict,
-    /// From the moment at which clients began.
+    /// Time 0 is when the clients began.
     pub facts: Vec<Fact>,
 }
 
-/// Plays a plan with the sender at `program`; senders keep their folders and logs in `work`.
+/// Plays a plan with the sender binary at `program`. Senders have their folders and logs in `work`.
 pub async fn play(
     plan: &Arc<Plan>,
     program: &Path,
     work: &Path,
     progress: &watch::Sender<Progress>,
 ) -> Result<Played, PlayError> {
-    let holds = machine::senders_by_descriptors(plan.endpoints.len());
-    if plan.senders.len() > holds {
-        return Err(PlayError::Descriptors { senders: plan.senders.len(), holds });
+    let max_senders = machine::senders_by_descriptors(plan.endpoints.len());
+    if plan.senders.len() > max_senders {
+        return Err(PlayError::Descriptors { senders: plan.senders.len(), max_senders });
     }
     let clock = Clock::new(Instant::now());
     let (void, mut voids) = mpsc::unbounded_channel();
-    let ground = StubContext {
+    let context = StubContext {
         clock,
         fact_log: Arc::new(FactLog::new(clock)),
         lag: Arc::new(SchedulingLag::default()),
         messages: Arc::new(MessageRegistry::default()),
         void,
     };
-    let mut stage = Stage::set(plan, program, work, &ground)?;
-    stage.start_all(Duration::from_secs_f64(plan.spec.program.ready_s), progress).await?;
-    let from = clock.now();
+    let mut environment = Environment::new(plan, program, work, &context)?;
+    environment.start_all(Duration::from_secs_f64(plan.spec.program.ready_s), progress).await?;
+    let start = clock.now();
     let before = Ticks::now().map_err(PlayError::Machine)?;
-    // Strangers come from anywhere, and not over the link of the sender's own clients.
-    let direct: Vec<_> = stage.senders.iter().map(Sender::address).collect();
-    let front = |s: &Sender| stage.links.front(Link::Clients, s.number(), s.address());
-    let doors = stage.senders.iter().map(front).collect::<Result<Vec<_>, _>>()?;
-    let handing_in = async {
-        tokio::join!(clients::run(plan, &doors, &ground, from), strangers::run(plan, &direct, &ground, from),);
+    // Invalid peers connect to the sender itself, not over the link of its clients.
+    let sender_addresses: Vec<_> = environment.senders.iter().map(Sender::address).collect();
+    let client_address = |s: &Sender| environment.links.front(Link::Clients, s.number(), s.address());
+    let client_addresses = environment.senders.iter().map(client_address).collect::<Result<Vec<_>, _>>()?;
+    let traffic = async {
+        tokio::join!(
+            clients::run(plan, &client_addresses, &context, start),
+            strangers::run(plan, &sender_addresses, &context, start),
+        );
     };
-    let watching = async {
+    let report_progress = async {
         loop {
-            let at = clock.now() - from;
-            let open = ground.messages.count_open(clock.now(), GRACE);
+            let at = clock.now() - start;
+            let open = context.messages.count_open(clock.now(), END_GRACE);
             progress.send_replace(match at < plan.terms.request_span {
                 true => Progress::Playing { at },
                 false => Progress::Ending { open },
             });
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
-    // The schedule may bring a sender back after the last message was asked for.
-    let all = async {
-        let (scheduled, ()) = tokio::join!(stage.schedule(plan, from), handing_in);
+    // The schedule may start a sender again after the last request.
+    let finish = async {
+        let (scheduled, ()) = tokio::join!(environment.run_schedule(plan, start), traffic);
         scheduled?;
-        while ground.messages.count_open(clock.now(), GRACE) > 0 {
-            sleep(LOOK_EVERY).await;
+        while context.messages.count_open(clock.now(), END_GRACE) > 0 {
+            sleep(POLL_INTERVAL).await;
         }
         Ok::<(), PlayError>(())
     };
     tokio::select! {
-        all = all => all?,
-        () = watching => {}
+        finished = finish => finished?,
+        () = report_progress => {}
     }
     let busy = Ticks::now().map_err(PlayError::Machine)?.busy_since(&before);
-    stage.end().await;
+    environment.shut_down().await;
     progress.send_replace(Progress::Finished);
-    let facts: Vec<Fact> = ground.fact_log.take().into_iter().map(|f| f.shifted(from)).collect();
-    let late = ground.lag.percentile(99.0);
+    let facts: Vec<Fact> = context.fact_log.take().into_iter().map(|f| f.shifted(start)).collect();
+    let lag = context.lag.percentile(99.0);
     let void = match voids.try_recv() {
         Ok(why) => Some(why),
-        Err(_) if late > scheduling_lag::MAX_P99 => {
+        Err(_) if lag > scheduling_lag::MAX_P99 => {
             let bound = scheduling_lag::MAX_P99 / MS;
-            Some(format!("the testbed was late itself: p99 {} ms, {bound} ms at most", late / MS))
+            Some(format!(
+                "the testbed itself was late: p99 {} ms, and at most {bound} ms is allowed",
+                lag / MS
+            ))
         }
         Err(_) => None,
     };
     let verdict = Verdict {
         void,
-        lateness_p99_ms: late as f64 / MS as f64,
-        max_senders: Some(machine::senders(plan.senders.len(), busy).min(holds)),
+        lateness_p99_ms: lag as f64 / MS as f64,
+        max_senders: Some(machine::senders(plan.senders.len(), busy).min(max_senders)),
         ..verdict(plan, &facts)
     };
     Ok(Played { verdict, facts })
 }
 
-/// Judges facts of a play of this plan, as far as they tell.
+/// Returns the verdict on the facts of a play, without the figures that only the testbed knows.
 pub fn verdict(plan: &Plan, facts: &[Fact]) -> Verdict {
-    let case = FactIndex::new(&plan.terms, facts);
-    let served = score::request_results(&case);
+    let index = FactIndex::new(&plan.terms, facts);
+    let results = score::request_results(&index);
     Verdict {
         schema: VERDICT_SCHEMA,
         title: plan.spec.title.clone(),
         seed: plan.seed.0,
         senders: plan.senders.len(),
-        counts: score::counts(&case, &served),
-        service: score::service(&case, &served),
-        latency: score::latency(&served),
-        violations: judge::violations_of(&case),
+        counts: score::counts(&index, &results),
+        service: score::service(&index, &results),
+        latency: score::latency(&results),
+        violations: judge::violations_of(&index),
         void: None,
         lateness_p99_ms: 0.0,
         max_senders: None,
     }
 }
 
-/// The stand-ins and the senders.
-struct Stage {
-    ground: StubContext,
+/// The stub servers and the senders of a play.
+struct Environment {
+    context: StubContext,
     links: Arc<Links>,
     endpoints: Arc<Endpoints>,
     discovery: Discovery,
     senders: Vec<Sender>,
+    /// Random stream for the seeds of senders' processes.
     seeds: rand_chacha::ChaCha8Rng,
 }
 
-impl Stage {
-    fn set(plan: &Arc<Plan>, program: &Path, work: &Path, ground: &StubContext) -> Result<Stage, PlayError> {
-        let links = Arc::new(Links::new(plan, ground.clock));
-        let endpoints = Arc::new(Endpoints::start(plan, &links, ground)?);
-        let discovery = Discovery::start(plan, &endpoints, &links, ground)?;
-        let sender = |n| Sender::new(plan, n, (program, work), discovery.address(n), ground);
+impl Environment {
+    /// Starts the stub servers and prepares the senders' folders.
+    fn new(
+        plan: &Arc<Plan>,
+        program: &Path,
+        work: &Path,
+        context: &StubContext,
+    ) -> Result<Environment, PlayError> {
+        let links = Arc::new(Links::new(plan, context.clock));
+        let endpoints = Arc::new(Endpoints::start(plan, &links, context)?);
+        let discovery = Discovery::start(plan, &endpoints, &links, context)?;
+        let sender = |n| Sender::new(plan, n, (program, work), discovery.address(n), context);
         let senders = (0..plan.senders.len() as u32).map(sender).collect::<Result<_, _>>()?;
-        Ok(Stage {
-            ground: ground.clone(),
+        Ok(Environment {
+            context: context.clone(),
             links,
             endpoints,
             discovery,
@@ -221,25 +242,26 @@
         })
     }
 
-    /// Starts all senders, and waits until they are ready, or for so long.
+    /// Starts all senders and waits until they are ready, at most for `ready_timeout`.
     async fn start_all(
         &mut self,
-        within: Duration,
+        ready_timeout: Duration,
         progress: &watch::Sender<Progress>,
     ) -> Result<(), PlayError> {
         for number in 0..self.senders.len() {
             self.start(number as u32, StateFolder::Keep).await?;
         }
-        let until = Instant::now() + within;
+        let until = Instant::now() + ready_timeout;
         for (ready, sender) in self.senders.iter().enumerate() {
             progress.send_replace(Progress::Starting { ready });
-            // One that ended or is late is the judge's matter.
+            // A process that has ended or is not ready in time is reported by the judge.
             let mut phase = sender.phase();
             let _ = tokio::time::timeout_at(until, phase.wait_for(|p| *p != Phase::Starting)).await;
         }
         Ok(())
     }
 
+    /// Starts a process of a sender.
     async fn start(&mut self, sender: u32, folder: StateFolder) -> Result<(), PlayError> {
         let known = self.discovery.known(sender);
         let next = (sender as usize + 1) % self.senders.len();
@@ -248,66 +270,68 @@
         Ok(self.senders[sender as usize].start(folder, &other, known, seed).await?)
     }
 
-    async fn schedule(&mut self, plan: &Plan, from: Ns) -> Result<(), PlayError> {
+    /// Carries out each step of the schedule at its time after `start`.
+    async fn run_schedule(&mut self, plan: &Plan, start: Ns) -> Result<(), PlayError> {
         for step in &plan.schedule {
-            self.ground.clock.sleep_until(from + step.at).await;
-            tracing::info!(at_ms = step.at / MS, action = ?step.action, "by schedule");
-            self.carry_out(&step.action, from).await?;
+            self.context.clock.sleep_until(start + step.at).await;
+            tracing::info!(at_ms = step.at / MS, action = ?step.action, "scheduled action");
+            self.apply(&step.action, start).await?;
         }
         Ok(())
     }
 
-    async fn carry_out(&mut self, does: &StepAction, from: Ns) -> Result<(), PlayError> {
-        let list = |endpoint, lifecycle| {
-            self.endpoints.set(endpoint, lifecycle);
-            self.discovery.change(endpoint, lifecycle);
+    async fn apply(&mut self, action: &StepAction, start: Ns) -> Result<(), PlayError> {
+        let set_lifecycle = |endpoint, lifecycle| {
+            self.endpoints.set_lifecycle(endpoint, lifecycle);
+            self.discovery.change_endpoint(endpoint, lifecycle);
         };
-        match *does {
+        match *action {
             StepAction::Begin { dest, kind, size, until } => {
-                self.endpoints.begin(dest, kind, size, from + until)
+                self.endpoints.begin_fault(dest, kind, size, start + until)
             }
-            StepAction::End { dest, kind } => self.endpoints.end(dest, kind),
-            StepAction::Drain { endpoint } => list(endpoint, Lifecycle::Terminating),
-            StepAction::Remove { endpoint } => list(endpoint, Lifecycle::Gone),
-            StepAction::Add { endpoint } => list(endpoint, Lifecycle::Ready),
+            StepAction::End { dest, kind } => self.endpoints.end_fault(dest, kind),
+            StepAction::Drain { endpoint } => set_lifecycle(endpoint, Lifecycle::Terminating),
+            StepAction::Remove { endpoint } => set_lifecycle(endpoint, Lifecycle::Gone),
+            StepAction::Add { endpoint } => set_lifecycle(endpoint, Lifecycle::Ready),
             StepAction::Kill { sender } => self.senders[sender as usize].strike(Blow::Kill),
             StepAction::Terminate { sender } => self.senders[sender as usize].strike(Blow::Terminate),
             StepAction::Pause { sender } => self.senders[sender as usize].strike(Blow::Pause),
             StepAction::Continue { sender } => self.senders[sender as usize].strike(Blow::Continue),
             StepAction::Start { sender, folder } => self.start(sender, folder).await?,
             StepAction::Link { sender, link, kind, size, begins } => {
-                self.ground.fact_log.record(FactKind::LinkFault { sender, link, kind, begins });
+                self.context.fact_log.record(FactKind::LinkFault { sender, link, kind, begins });
                 self.links.strike(link, sender, kind, size, begins);
             }
             StepAction::Discovery { kind: EventKind::DiscoveryMoves, .. } => {
-                self.ground
+                self.context
                     .fact_log
                     .record(FactKind::DiscoveryFault { kind: EventKind::DiscoveryMoves, begins: true });
-                self.discovery.moves()?;
+                self.discovery.move_address()?;
                 for sender in &mut self.senders {
                     sender.move_discovery(self.discovery.address(sender.number()))?;
                 }
             }
             StepAction::Discovery { kind, size, begins } => {
-                self.ground.fact_log.record(FactKind::DiscoveryFault { kind, begins });
-                self.discovery.trouble(kind, size, begins);
+                self.context.fact_log.record(FactKind::DiscoveryFault { kind, begins });
+                self.discovery.set_fault(kind, size, begins);
             }
         }
         Ok(())
     }
 
-    /// Ends all senders, as a planned restart does, and waits until they have ended.
-    async fn end(&mut self) {
+    /// Ends all senders with SIGTERM, and with SIGKILL after `SHUTDOWN_TIMEOUT`, and waits until they have
+    /// ended.
+    async fn shut_down(&mut self) {
         for sender in &mut self.senders {
             sender.strike(Blow::Continue);
             sender.strike(Blow::Terminate);
         }
-        let until = Instant::now() + ENDS_WITHIN;
+        let until = Instant::now() + SHUTDOWN_TIMEOUT;
         for sender in &mut self.senders {
             let mut phase = sender.phase();
             if tokio::time::timeout_at(until, phase.wait_for(|p| *p == Phase::Down)).await.is_err() {
                 sender.strike(Blow::Kill);
-                let _ = timeout(ENDS_WITHIN, phase.wait_for(|p| *p == Phase::Down)).await;
+                let _ = timeout(SHUTDOWN_TIMEOUT, phase.wait_for(|p| *p == Phase::Down)).await;
             }
         }
     }
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -1,5 +1,5 @@
-//! A play on disk: `seed-N/` with the plan, the facts (a JSON object a line), the verdict, and the senders'
-//! folders.
+//! The record of an experiment on disk: for each play a folder `seed-N` with the plan, the facts (one JSON
+//! object per line), the verdict, and the senders' folders.
 use crate::facts::Fact;
 use crate::plan::{Destination, Plan, Terms};
 use crate::play::{Played, Verdict};
@@ -9,15 +9,17 @@
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::path::{Path, PathBuf};
 
+/// Why a record can't be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
     #[error("{path}: {error}")]
     File { path: PathBuf, error: io::Error },
     #[error("{path}, line {line}: {error}")]
-    Form { path: PathBuf, line: usize, error: serde_json::Error },
+    Syntax { path: PathBuf, line: usize, error: serde_json::Error },
 }
 
-fn at(path: &Path) -> impl Fn(io::Error) -> RecordError + '_ {
+/// Returns a conversion from an I/O error on a file.
+fn file_error(path: &Path) -> impl Fn(io::Error) -> RecordError + '_ {
     move |error| RecordError::File { path: path.to_path_buf(), error }
 }
 
@@ -32,84 +34,89 @@
 pub struct ExperimentFolder(PathBuf);
 
 impl ExperimentFolder {
-    /// Creates it. One that exists is another experiment's, and left alone.
+    /// Creates the folder. Fails if it exists, as it may hold another experiment.
     pub fn create(path: &Path) -> Result<ExperimentFolder, RecordError> {
-        std::fs::create_dir(path).map_err(at(path))?;
-        Ok(ExperimentFolder(std::path::absolute(path).map_err(at(path))?))
+        std::fs::create_dir(path).map_err(file_error(path))?;
+        Ok(ExperimentFolder(std::path::absolute(path).map_err(file_error(path))?))
     }
 
+    /// Returns a folder that exists already, without a check.
     pub fn open(path: &Path) -> ExperimentFolder {
         ExperimentFolder(path.to_path_buf())
     }
 
-    fn seed(&self, seed: u64) -> PathBuf {
+    fn seed_folder(&self, seed: u64) -> PathBuf {
         self.0.join(format!("seed-{seed}"))
     }
 
-    /// Where the senders of a play live.
+    /// Creates and returns the folder for the senders of a play.
     pub fn senders_folder(&self, seed: u64) -> Result<PathBuf, RecordError> {
-        let path = self.seed(seed).join("senders");
-        std::fs::create_dir_all(&path).map_err(at(&path))?;
+        let path = self.seed_folder(seed).join("senders");
+        std::fs::create_dir_all(&path).map_err(file_error(&path))?;
         Ok(path)
     }
 
+    /// Writes the plan, the facts and the verdict of a play.
     pub fn save(&self, plan: &Plan, played: &Played) -> Result<(), RecordError> {
-        let folder = self.seed(plan.seed.0);
-        std::fs::create_dir_all(&folder).map_err(at(&folder))?;
-        let drawn = json!({"seed": plan.seed.0, "spec": plan.spec, "terms": plan.terms,
+        let folder = self.seed_folder(plan.seed.0);
+        std::fs::create_dir_all(&folder).map_err(file_error(&folder))?;
+        let plan_json = json!({"seed": plan.seed.0, "spec": plan.spec, "terms": plan.terms,
             "destinations": plan.destinations, "endpoints": plan.endpoints, "senders": plan.senders,
             "schedule": plan.schedule});
-        write(&folder.join("plan.json"), &[drawn])?;
-        write(&folder.join("facts.jsonl"), &played.facts)?;
-        write(&folder.join("verdict.json"), std::slice::from_ref(&played.verdict))
+        write_lines(&folder.join("plan.json"), &[plan_json])?;
+        write_lines(&folder.join("facts.jsonl"), &played.facts)?;
+        write_lines(&folder.join("verdict.json"), std::slice::from_ref(&played.verdict))
     }
 
-    /// The verdicts of all plays, by seed.
+    /// Reads the verdicts of all plays, in the order of their seeds.
     pub fn verdicts(&self) -> Result<Vec<Verdict>, RecordError> {
         let mut all: Vec<Verdict> = Vec::new();
-        for entry in std::fs::read_dir(&self.0).map_err(at(&self.0))? {
-            let path = entry.map_err(at(&self.0))?.path().join("verdict.json");
+        for entry in std::fs::read_dir(&self.0).map_err(file_error(&self.0))? {
+            let path = entry.map_err(file_error(&self.0))?.path().join("verdict.json");
             if path.is_file() {
-                all.extend(read(&path)?);
+                all.extend(read_lines(&path)?);
             }
         }
         all.sort_by_key(|v| v.seed);
         Ok(all)
     }
 
-    /// What the report needs of a play's plan.
+    /// Reads the part of a play's plan that the report needs.
     pub fn plan(&self, seed: u64) -> Result<SavedPlan, RecordError> {
-        let path = self.seed(seed).join("plan.json");
-        let file = File::open(&path).map_err(at(&path))?;
+        let path = self.seed_folder(seed).join("plan.json");
+        let file = File::open(&path).map_err(file_error(&path))?;
         serde_json::from_reader(BufReader::new(file)).map_err(|error| {
             let line = error.line();
-            RecordError::Form { path, line, error }
+            RecordError::Syntax { path, line, error }
         })
     }
 
+    /// Reads the facts of a play.
     pub fn facts(&self, seed: u64) -> Result<Vec<Fact>, RecordError> {
-        read(&self.seed(seed).join("facts.jsonl"))
+        read_lines(&self.seed_folder(seed).join("facts.jsonl"))
     }
 }
 
-fn write<T: Serialize>(path: &Path, lines: &[T]) -> Result<(), RecordError> {
-    let mut file = BufWriter::new(File::create(path).map_err(at(path))?);
+/// Writes each value as a line of JSON.
+fn write_lines<T: Serialize>(path: &Path, lines: &[T]) -> Result<(), RecordError> {
+    let mut file = BufWriter::new(File::create(path).map_err(file_error(path))?);
     for line in lines {
         let written = serde_json::to_writer(&mut file, line).map_err(io::Error::from);
-        written.and_then(|()| file.write_all(b"\n")).map_err(at(path))?;
+        written.and_then(|()| file.write_all(b"\n")).map_err(file_error(path))?;
     }
-    file.flush().map_err(at(path))
+    file.flush().map_err(file_error(path))
 }
 
-fn read<T: serde::de::DeserializeOwned>(path: &Path) -> Result<Vec<T>, RecordError> {
-    let file = BufReader::new(File::open(path).map_err(at(path))?);
-    let one = |(number, text): (usize, io::Result<String>)| {
-        let text = text.map_err(at(path))?;
-        serde_json::from_str(&text).map_err(|error| RecordError::Form {
+/// Reads one JSON value from each line.
+fn read_lines<T: serde::de::DeserializeOwned>(path: &Path) -> Result<Vec<T>, RecordError> {
+    let file = BufReader::new(File::open(path).map_err(file_error(path))?);
+    let parse_line = |(number, text): (usize, io::Result<String>)| {
+        let text = text.map_err(file_error(path))?;
+        serde_json::from_str(&text).map_err(|error| RecordError::Syntax {
             path: path.to_path_buf(),
             line: number + 1,
             error,
         })
     };
-    file.lines().enumerate().map(one).collect()
+    file.lines().enumerate().map(parse_line).collect()
 }
--- a/crates/testbed/src/scheduling_lag.rs
+++ b/crates/testbed/src/scheduling_lag.rs
@@ -1,34 +1,35 @@
-//! How late the testbed itself was: what it did at a planned time is measured against that time.
+//! Measures how late the testbed does what is due at a planned time.
 use crate::clock::{Ns, MS};
 use hdrhistogram::Histogram;
 use std::sync::Mutex;
 
-/// Past this 99th percentile the play is void: the stand-ins, not the senders, were slow.
+/// Above this 99th percentile a play is void, as the testbed was slow and not the senders.
 pub const MAX_P99: Ns = 20 * MS;
-/// Figures past it are kept as it: one minute in microseconds.
-const MOST_US: u64 = 60_000_000;
+/// Longest recorded lag, in microseconds: one minute. Longer ones count as this.
+const MAX_US: u64 = 60_000_000;
 
+/// A histogram of lags.
 pub struct SchedulingLag {
     /// In microseconds.
-    seen: Mutex<Histogram<u64>>,
+    histogram: Mutex<Histogram<u64>>,
 }
 
 impl Default for SchedulingLag {
     fn default() -> SchedulingLag {
-        let seen = Histogram::new_with_bounds(1, MOST_US, 3).expect("the bounds are valid");
-        SchedulingLag { seen: Mutex::new(seen) }
+        let histogram = Histogram::new_with_bounds(1, MAX_US, 3).expect("the bounds are valid");
+        SchedulingLag { histogram: Mutex::new(histogram) }
     }
 }
 
 impl SchedulingLag {
-    /// Something planned for `planned` was done at `now`.
-    pub fn note(&self, planned: Ns, now: Ns) {
-        let late = ((now - planned).max(0) / 1_000) as u64;
-        self.seen.lock().expect("no holder panics").saturating_record(late);
+    /// Records that something planned for `planned` was done at `now`.
+    pub fn record(&self, planned: Ns, now: Ns) {
+        let lag_us = ((now - planned).max(0) / 1_000) as u64;
+        self.histogram.lock().expect("no holder panics").saturating_record(lag_us);
     }
 
-    /// The given percentile (0 to 100), in nanoseconds.
+    /// Returns a percentile (0 to 100).
     pub fn percentile(&self, percent: f64) -> Ns {
-        self.seen.lock().expect("no holder panics").value_at_percentile(percent) as Ns * 1_000
+        self.histogram.lock().expect("no holder panics").value_at_percentile(percent) as Ns * 1_000
     }
 }
--- a/crates/testbed/src/sim/world/clients.rs
+++ b/crates/testbed/src/sim/world/clients.rs
@@ -117,7 +117,7 @@
     pub(super) fn schedule_retry(&mut self, request: u32, end: HandInEnd) {
         let (now, senders) = (self.now, self.senders.len() as u32);
         let Some(PendingRequest { client, random }) = self.pending.get_mut(&request) else { return };
-        match client.next(end, now, senders, &self.plan.spec.clients, random) {
+        match client.next_wait(end, now, senders, &self.plan.spec.clients, random) {
             Some(wait) => {
                 self.waiting_retries += 1;
                 self.after(wait, SimEvent::NextHandIn(request));
--- a/crates/testbed/src/sim/world/mod.rs
+++ b/crates/testbed/src/sim/world/mod.rs
@@ -36,7 +36,7 @@
 const END_CHECK_INTERVAL: Ns = 100 * MS;
 
 /// An event of the simulation. `incarnation` is that of the sender's process when the event was scheduled;
-/// the event is dropped if there is another process by then.
+/// the event is dropped if that process has ended since.
 enum SimEvent {
     /// A client hands in the message of a request for the first time.
     FirstHandIn(u32),
--- a/crates/testbed/src/spec.rs
+++ b/crates/testbed/src/spec.rs
@@ -267,20 +267,20 @@
 }
 
 impl EventKind {
-    /// Returns true if the event strikes senders or their links, rather than destinations or discovery.
-    pub fn strikes_senders(self) -> bool {
+    /// Returns true if the event affects senders or their links, rather than destinations or discovery.
+    pub fn affects_senders(self) -> bool {
         matches!(self, EventKind::HotSender | EventKind::Kill | EventKind::Terminate | EventKind::Pause)
-            || self.strikes_links()
+            || self.affects_links()
     }
 
-    /// Returns true if the event strikes links of senders.
-    pub fn strikes_links(self) -> bool {
+    /// Returns true if the event affects links of senders.
+    pub fn affects_links(self) -> bool {
         use EventKind::*;
         matches!(self, Cut | CutTo | CutBack | Delay | Loss | Trickle | Break)
     }
 
-    /// Returns true if the event strikes discovery.
-    pub fn strikes_discovery(self) -> bool {
+    /// Returns true if the event affects discovery.
+    pub fn affects_discovery(self) -> bool {
         use EventKind::*;
         matches!(
             self,
@@ -348,11 +348,11 @@
     /// How long the event lasts, in seconds.
     #[serde(rename = "for", default)]
     pub duration_s: f64,
-    /// Strikes at least this share of the destinations' traffic, or of the senders. Which ones is drawn from
+    /// Affects at least this share of the destinations' traffic, or of the senders. Which ones is drawn from
     /// the seed.
     #[serde(default)]
     pub part: Option<f64>,
-    /// Numbers of the destinations or senders that it strikes, in place of `part`.
+    /// Numbers of the destinations or senders that it affects, in place of `part`.
     #[serde(default)]
     pub which: Vec<u32>,
     /// Strength of the event, if its kind has one; `EventKind` says what it means.
@@ -361,7 +361,7 @@
     /// What a restarted sender finds in its state folder.
     #[serde(default)]
     pub folder: StateFolder,
-    /// Which link is struck, if the event strikes links.
+    /// Which link is affected, if the event affects links.
     #[serde(default)]
     pub link: Option<Link>,
 }
@@ -483,16 +483,16 @@
             (None, Some(_)) => return invalid_value("this event takes no size".into()),
             (None, None) => {}
         }
-        let (all, name) = if kind.strikes_senders() {
+        let (all, name) = if kind.affects_senders() {
             (self.senders, "sender")
-        } else if kind.strikes_discovery() {
+        } else if kind.affects_discovery() {
             (0, "discovery")
         } else {
             (self.platform.destinations, "destination")
         };
         match (event.part, event.which.is_empty()) {
-            (None, true) if kind.strikes_discovery() => {}
-            _ if kind.strikes_discovery() => {
+            (None, true) if kind.affects_discovery() => {}
+            _ if kind.affects_discovery() => {
                 return invalid_value("an event of discovery takes neither part nor which".into());
             }
             (Some(_), false) => return invalid_value("an event takes either part or which, not both".into()),
@@ -502,12 +502,12 @@
             }
             _ => {}
         }
-        if let Some(number) = event.which.iter().find(|n| **n >= all && !kind.strikes_discovery()) {
+        if let Some(number) = event.which.iter().find(|n| **n >= all && !kind.affects_discovery()) {
             return invalid_value(format!(
                 "which names {name} {number}, but there are {all}, numbered from 0"
             ));
         }
-        match (kind.strikes_links(), event.link) {
+        match (kind.affects_links(), event.link) {
             (true, None) => {
                 return invalid_value("an event on a link needs link: endpoints, discovery or clients".into())
             }
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -1,5 +1,4 @@
-//! Each rule of the judge: a ledger that keeps them all, and one edit of it for each rule that breaks just
-//! that one.
+//! The rules of the judge, on facts that violate no rule and on edits of them that each violate exactly one.
 use std::collections::BTreeSet;
 use testbed::clock::{Ns, MS, SECOND};
 use testbed::facts::{Fact, FactKind, HandInResult, Notice, ProcessEvent, Reply};
@@ -10,9 +9,10 @@
 use testbed::spec::EventKind;
 
 const SENDER: u32 = 0;
-/// Endpoints 0 and 1 are destination 0's, endpoint 2 is destination 1's.
+/// An endpoint of destination 0, which has the endpoints 0 and 1.
 const ENDPOINT: u32 = 0;
-const OTHERS: u32 = 2;
+/// The endpoint of destination 1.
+const OTHER_ENDPOINT: u32 = 2;
 
 fn terms() -> Terms {
     Terms {
@@ -25,102 +25,106 @@
     }
 }
 
-/// A ledger in the making: facts in any order, sorted at the end.
+/// Collects facts in any order; they are sorted before they are judged.
 #[derive(Clone, Default)]
-struct Story(Vec<Fact>);
+struct FactBuilder(Vec<Fact>);
 
-impl Story {
-    fn at(&mut self, at: Ns, kind: FactKind) -> &mut Story {
+impl FactBuilder {
+    fn fact(&mut self, at: Ns, kind: FactKind) -> &mut FactBuilder {
         self.0.push(Fact { at, kind });
         self
     }
 
-    /// A message for destination 0 that is taken on at `at`.
-    fn taken(&mut self, at: Ns, message: u64, class: usize) -> &mut Story {
+    /// Adds a message for destination 0 whose client wants it delivered at `at`, and which is accepted.
+    fn accepted(&mut self, at: Ns, message: u64, class: usize) -> &mut FactBuilder {
         let (request, dest, sender) = (message as u32, 0, SENDER);
         let due = at + terms().classes[class].deadline;
-        self.at(at, FactKind::Requested { request, sender, dest, class, planned: at })
-            .at(at + MS, FactKind::HandedIn { message, request, sender, due })
-            .at(at + 2 * MS, FactKind::HandInEnded { message, result: HandInResult::Accepted })
+        self.fact(at, FactKind::Requested { request, sender, dest, class, planned: at })
+            .fact(at + MS, FactKind::HandedIn { message, request, sender, due })
+            .fact(at + 2 * MS, FactKind::HandInEnded { message, result: HandInResult::Accepted })
     }
 
-    fn called(&mut self, at: Ns, call: u64, message: u64, endpoint: u32) -> &mut Story {
-        self.at(
+    fn called(&mut self, at: Ns, call: u64, message: u64, endpoint: u32) -> &mut FactBuilder {
+        self.fact(
             at,
             FactKind::CallReceived { call, message, sender: SENDER, endpoint, first: at, intact: true },
         )
     }
 
-    fn replied(&mut self, at: Ns, call: u64, reply: Reply) -> &mut Story {
-        self.at(at, FactKind::Replied { call, reply })
+    fn replied(&mut self, at: Ns, call: u64, reply: Reply) -> &mut FactBuilder {
+        self.fact(at, FactKind::Replied { call, reply })
     }
 
-    fn delivered(&mut self, at: Ns, call: u64, message: u64) -> &mut Story {
-        self.called(at, call, message, ENDPOINT).at(at + 100 * MS, FactKind::Effect { call }).replied(
+    fn delivered(&mut self, at: Ns, call: u64, message: u64) -> &mut FactBuilder {
+        self.called(at, call, message, ENDPOINT).fact(at + 100 * MS, FactKind::Effect { call }).replied(
             at + 100 * MS,
             call,
             Reply::Delivered,
         )
     }
 
-    fn life(&mut self, at: Ns, life: ProcessEvent) -> &mut Story {
-        self.at(at, FactKind::Process { sender: SENDER, event: life })
+    fn process(&mut self, at: Ns, event: ProcessEvent) -> &mut FactBuilder {
+        self.fact(at, FactKind::Process { sender: SENDER, event })
     }
 
-    fn notice(&mut self, at: Ns, message: u64, notice: Notice) -> &mut Story {
-        self.at(at, FactKind::Notice { message, sender: SENDER, notice })
+    fn notice(&mut self, at: Ns, message: u64, notice: Notice) -> &mut FactBuilder {
+        self.fact(at, FactKind::Notice { message, sender: SENDER, notice })
     }
 
-    fn broken(&self) -> BTreeSet<Rule> {
-        let mut facts = self.0.clone();
-        facts.sort_by_key(|f| f.at);
-        violations(&terms(), &facts).into_iter().map(|b| b.rule).collect()
+    /// Returns the rules that the facts violate.
+    fn violated(&self) -> BTreeSet<Rule> {
+        let mut sorted = self.0.clone();
+        sorted.sort_by_key(|f| f.at);
+        violations(&terms(), &sorted).into_iter().map(|v| v.rule).collect()
     }
 }
 
-/// A sender that does everything that is hard rightly: refusals, waits, a restart, a drain, a cold return.
-fn kept() -> Story {
-    let mut story = Story::default();
-    story.life(-300 * MS, ProcessEvent::Started).life(-100 * MS, ProcessEvent::Ready);
-    story.taken(0, 1, BOOKING);
-    // Turned away with a wait, and called again just after it.
+/// Returns the facts of a sender that handles refusals, waits, errors, a drain and a restart without a
+/// violation.
+fn valid_play() -> FactBuilder {
+    let mut facts = FactBuilder::default();
+    facts.process(-300 * MS, ProcessEvent::Started).process(-100 * MS, ProcessEvent::Ready);
+    facts.accepted(0, 1, BOOKING);
+    // Refused with a wait, and called again just after it.
     let refused = |wait| Reply::Refused { why: Refusal::Limit, wait };
-    story.called(5 * MS, 1, 1, ENDPOINT).replied(10 * MS, 1, refused(Some(SECOND)));
-    story.called(50 * MS, 2, 1, 1).replied(60 * MS, 2, refused(None));
-    story.delivered(1_020 * MS, 3, 1);
-    // An error, and not again, but given up in time.
-    story.taken(2 * SECOND, 2, BOOKING).called(2_010 * MS, 4, 2, ENDPOINT).replied(
+    facts.called(5 * MS, 1, 1, ENDPOINT).replied(10 * MS, 1, refused(Some(SECOND)));
+    facts.called(50 * MS, 2, 1, 1).replied(60 * MS, 2, refused(None));
+    facts.delivered(1_020 * MS, 3, 1);
+    // A booking is not sent again after an error, but given up in time.
+    facts.accepted(2 * SECOND, 2, BOOKING).called(2_010 * MS, 4, 2, ENDPOINT).replied(
         2_200 * MS,
         4,
         Reply::Error,
     );
-    story.notice(2_300 * MS, 2, Notice::GivenUp);
-    // The same of the other class is called again.
-    story.taken(3 * SECOND, 3, RATE_PUSH).called(3_010 * MS, 5, 3, ENDPOINT).replied(
+    facts.notice(2_300 * MS, 2, Notice::GivenUp);
+    // A rate-push is sent again after an error.
+    facts.accepted(3 * SECOND, 3, RATE_PUSH).called(3_010 * MS, 5, 3, ENDPOINT).replied(
         3_200 * MS,
         5,
         Reply::Error,
     );
-    story.delivered(3_400 * MS, 6, 3);
-    // A drain.
-    story.at(4 * SECOND, FactKind::EndpointChanged { endpoint: 1, lifecycle: Lifecycle::Terminating });
-    story.at(
+    facts.delivered(3_400 * MS, 6, 3);
+    // A call to an endpoint that drains, within the grace period.
+    facts.fact(4 * SECOND, FactKind::EndpointChanged { endpoint: 1, lifecycle: Lifecycle::Terminating });
+    facts.fact(
         5 * SECOND,
         FactKind::ChangeSent { sender: SENDER, endpoint: 1, lifecycle: Lifecycle::Terminating },
     );
-    story.taken(5_390 * MS, 4, RATE_PUSH).called(5_400 * MS, 7, 4, 1).replied(
+    facts.accepted(5_390 * MS, 4, RATE_PUSH).called(5_400 * MS, 7, 4, 1).replied(
         5_500 * MS,
         7,
         Reply::Delivered,
     );
-    // A kill, and what was taken on before ends a little late after it.
-    story.taken(7 * SECOND, 5, BOOKING);
-    story.life(22_900 * MS, ProcessEvent::Killed).life(22_901 * MS, ProcessEvent::Exited { expected: true });
-    story.life(23_500 * MS, ProcessEvent::Started).life(23_700 * MS, ProcessEvent::Ready);
-    story.notice(24_900 * MS, 5, Notice::GivenUp);
-    // Strangers have their error or their close.
+    // A kill. A message accepted before it ends late, but within the grace period after the restart.
+    facts.accepted(7 * SECOND, 5, BOOKING);
+    facts
+        .process(22_900 * MS, ProcessEvent::Killed)
+        .process(22_901 * MS, ProcessEvent::Exited { expected: true });
+    facts.process(23_500 * MS, ProcessEvent::Started).process(23_700 * MS, ProcessEvent::Ready);
+    facts.notice(24_900 * MS, 5, Notice::GivenUp);
+    // An invalid peer is answered in time.
     let form = || "no id".to_string();
-    story.at(
+    facts.fact(
         SECOND,
         FactKind::Stranger {
             sender: SENDER,
@@ -130,74 +134,78 @@
             taken: false,
         },
     );
-    story
+    facts
 }
 
+/// Asserts that an edit of the valid play violates one rule and no other.
 #[track_caller]
-fn only(rule: Rule, edit: impl FnOnce(&mut Story)) {
-    let mut story = kept();
-    assert_eq!(story.broken(), BTreeSet::new(), "before the edit");
-    edit(&mut story);
-    assert_eq!(story.broken(), BTreeSet::from([rule]));
+fn assert_only_violates(rule: Rule, edit: impl FnOnce(&mut FactBuilder)) {
+    let mut facts = valid_play();
+    assert_eq!(facts.violated(), BTreeSet::new(), "before the edit");
+    edit(&mut facts);
+    assert_eq!(facts.violated(), BTreeSet::from([rule]));
 }
 
-fn without(story: &mut Story, is: impl Fn(&FactKind) -> bool) {
-    let before = story.0.len();
-    story.0.retain(|f| !is(&f.kind));
-    assert_ne!(story.0.len(), before, "the edit found nothing");
+/// Removes all facts that match.
+fn remove(facts: &mut FactBuilder, is: impl Fn(&FactKind) -> bool) {
+    let before = facts.0.len();
+    facts.0.retain(|f| !is(&f.kind));
+    assert_ne!(facts.0.len(), before, "no fact matches");
 }
 
 #[test]
-fn lost_where_a_message_has_no_end() {
-    only(Rule::Lost, |s| without(s, |w| matches!(w, FactKind::Notice { message: 2, .. })));
+fn lost_if_message_never_ends() {
+    assert_only_violates(Rule::Lost, |facts| {
+        remove(facts, |kind| matches!(kind, FactKind::Notice { message: 2, .. }))
+    });
 }
 
 #[test]
-fn lost_where_clients_are_left_without_an_answer() {
-    only(Rule::Lost, |s| {
+fn lost_if_client_gets_no_answer() {
+    assert_only_violates(Rule::Lost, |facts| {
         let (request, sender, dest) = (9, SENDER, 0);
-        s.at(SECOND, FactKind::Requested { request, sender, dest, class: RATE_PUSH, planned: SECOND });
-        s.at(SECOND, FactKind::HandedIn { message: 9, request, sender, due: 9 * SECOND });
-        s.at(SECOND + MS, FactKind::HandInEnded { message: 9, result: HandInResult::Closed });
+        facts.fact(SECOND, FactKind::Requested { request, sender, dest, class: RATE_PUSH, planned: SECOND });
+        facts.fact(SECOND, FactKind::HandedIn { message: 9, request, sender, due: 9 * SECOND });
+        facts.fact(SECOND + MS, FactKind::HandInEnded { message: 9, result: HandInResult::Closed });
     });
 }
 
 #[test]
-fn an_emptied_folder_excuses_what_was_owed() {
-    let mut story = kept();
-    without(&mut story, |w| matches!(w, FactKind::Notice { message: 5, .. }));
-    assert_eq!(story.broken(), BTreeSet::from([Rule::Lost]));
-    story.life(23 * SECOND, ProcessEvent::Emptied);
-    assert_eq!(story.broken(), BTreeSet::new());
+fn emptied_state_folder_excuses_lost_messages() {
+    let mut facts = valid_play();
+    remove(&mut facts, |kind| matches!(kind, FactKind::Notice { message: 5, .. }));
+    assert_eq!(facts.violated(), BTreeSet::from([Rule::Lost]));
+    facts.process(23 * SECOND, ProcessEvent::Emptied);
+    assert_eq!(facts.violated(), BTreeSet::new());
 }
 
 #[test]
-fn late_end_where_a_notice_comes_after_the_time() {
-    only(Rule::LateEnd, |s| {
-        without(s, |w| matches!(w, FactKind::Notice { message: 2, .. }));
-        s.notice(18_400 * MS, 2, Notice::GivenUp);
+fn late_end_if_notice_comes_after_deadline() {
+    assert_only_violates(Rule::LateEnd, |facts| {
+        remove(facts, |kind| matches!(kind, FactKind::Notice { message: 2, .. }));
+        facts.notice(18_400 * MS, 2, Notice::GivenUp);
     });
 }
 
 #[test]
-fn late_end_where_a_restart_does_not_excuse_it() {
-    only(Rule::LateEnd, |s| {
-        without(s, |w| matches!(w, FactKind::Notice { message: 5, .. }));
-        s.notice(25_300 * MS, 5, Notice::GivenUp);
+fn late_end_if_restart_is_too_long_ago() {
+    assert_only_violates(Rule::LateEnd, |facts| {
+        remove(facts, |kind| matches!(kind, FactKind::Notice { message: 5, .. }));
+        facts.notice(25_300 * MS, 5, Notice::GivenUp);
     });
 }
 
 #[test]
-fn twice_where_a_booking_is_called_again_after_an_error() {
-    only(Rule::Twice, |s| {
-        s.called(2_250 * MS, 90, 2, ENDPOINT).replied(2_260 * MS, 90, Reply::Error);
+fn twice_if_booking_is_sent_again_after_error() {
+    assert_only_violates(Rule::Twice, |facts| {
+        facts.called(2_250 * MS, 90, 2, ENDPOINT).replied(2_260 * MS, 90, Reply::Error);
     });
 }
 
 #[test]
-fn twice_where_a_booking_is_called_while_a_call_is_out() {
-    only(Rule::Twice, |s| {
-        s.called(1_050 * MS, 90, 1, 1).replied(
+fn twice_if_booking_is_sent_during_another_call() {
+    assert_only_violates(Rule::Twice, |facts| {
+        facts.called(1_050 * MS, 90, 1, 1).replied(
             1_060 * MS,
             90,
             Reply::Refused { why: Refusal::Queue, wait: None },
@@ -206,63 +214,65 @@
 }
 
 #[test]
-fn twice_where_a_booking_is_handed_back_after_an_error() {
-    only(Rule::Twice, |s| {
-        without(s, |w| matches!(w, FactKind::Notice { message: 2, .. }));
-        s.notice(2_300 * MS, 2, Notice::HandedBack);
+fn twice_if_booking_is_handed_back_after_error() {
+    assert_only_violates(Rule::Twice, |facts| {
+        remove(facts, |kind| matches!(kind, FactKind::Notice { message: 2, .. }));
+        facts.notice(2_300 * MS, 2, Notice::HandedBack);
     });
 }
 
 #[test]
-fn drain_where_a_call_begins_after_it_was_told() {
-    only(Rule::Drain, |s| {
-        s.called(5_600 * MS, 90, 4, 1).replied(5_700 * MS, 90, Reply::Delivered);
+fn drain_if_call_begins_after_change_was_sent() {
+    assert_only_violates(Rule::Drain, |facts| {
+        facts.called(5_600 * MS, 90, 4, 1).replied(5_700 * MS, 90, Reply::Delivered);
     });
 }
 
 #[test]
-fn drain_where_it_counts_as_told() {
-    only(Rule::Drain, |s| {
-        without(s, |w| matches!(w, FactKind::ChangeSent { .. }));
-        s.called(10_600 * MS, 90, 4, 1).replied(10_700 * MS, 90, Reply::Delivered);
+fn drain_if_change_counts_as_known() {
+    assert_only_violates(Rule::Drain, |facts| {
+        remove(facts, |kind| matches!(kind, FactKind::ChangeSent { .. }));
+        facts.called(10_600 * MS, 90, 4, 1).replied(10_700 * MS, 90, Reply::Delivered);
     });
 }
 
 #[test]
-fn wait_where_a_call_comes_within_it() {
-    only(Rule::Wait, |s| {
-        s.taken(400 * MS, 9, RATE_PUSH).delivered(500 * MS, 90, 9);
+fn wait_if_call_comes_within_retry_after() {
+    assert_only_violates(Rule::Wait, |facts| {
+        facts.accepted(400 * MS, 9, RATE_PUSH).delivered(500 * MS, 90, 9);
     });
 }
 
 #[test]
-fn a_restart_ends_a_wait() {
-    let mut story = kept();
-    story.taken(400 * MS, 9, RATE_PUSH).delivered(500 * MS, 90, 9);
-    story.life(300 * MS, ProcessEvent::Killed).life(301 * MS, ProcessEvent::Exited { expected: true });
-    story.life(310 * MS, ProcessEvent::Started).life(450 * MS, ProcessEvent::Ready);
-    assert_eq!(story.broken(), BTreeSet::new());
+fn restart_ends_wait() {
+    let mut facts = valid_play();
+    facts.accepted(400 * MS, 9, RATE_PUSH).delivered(500 * MS, 90, 9);
+    facts.process(300 * MS, ProcessEvent::Killed).process(301 * MS, ProcessEvent::Exited { expected: true });
+    facts.process(310 * MS, ProcessEvent::Started).process(450 * MS, ProcessEvent::Ready);
+    assert_eq!(facts.violated(), BTreeSet::new());
 }
 
-/// An outage of destination 0, and calls at endpoint 0 just before it falls over.
-fn fallen(s: &mut Story, failing: bool) {
-    s.at(8 * SECOND, FactKind::DestinationFault { dest: 0, kind: EventKind::Down, begins: true });
-    s.at(9 * SECOND, FactKind::DestinationFault { dest: 0, kind: EventKind::Down, begins: false });
-    // Message 5 is held for the destination since before; without it nobody has seen the outage.
-    if !failing {
-        without(s, |w| {
-            matches!(w, FactKind::HandInEnded { message: 5, .. } | FactKind::Notice { message: 5, .. })
+/// Adds an outage of destination 0, and calls to endpoint 0 just before it fails by overload. `seen` if the
+/// sender held a message for the destination during the outage.
+fn overload_after_outage(facts: &mut FactBuilder, seen: bool) {
+    facts.fact(8 * SECOND, FactKind::DestinationFault { dest: 0, kind: EventKind::Down, begins: true });
+    facts.fact(9 * SECOND, FactKind::DestinationFault { dest: 0, kind: EventKind::Down, begins: false });
+    // The sender holds message 5 for the destination during the outage; without it no sender has seen the
+    // outage.
+    if !seen {
+        remove(facts, |kind| {
+            matches!(kind, FactKind::HandInEnded { message: 5, .. } | FactKind::Notice { message: 5, .. })
         });
     }
-    s.taken(9_100 * MS, 9, RATE_PUSH);
+    facts.accepted(9_100 * MS, 9, RATE_PUSH);
     for call in 0..5 {
-        s.called(9_200 * MS + call as Ns * MS, 90 + call, 9, ENDPOINT).replied(
+        facts.called(9_200 * MS + call as Ns * MS, 90 + call, 9, ENDPOINT).replied(
             10 * SECOND,
             90 + call,
             Reply::Broken,
         );
     }
-    s.at(10 * SECOND, FactKind::OverloadFailure { endpoint: ENDPOINT }).notice(
+    facts.fact(10 * SECOND, FactKind::OverloadFailure { endpoint: ENDPOINT }).notice(
         10 * SECOND,
         9,
         Notice::GivenUp,
@@ -270,38 +280,38 @@
 }
 
 #[test]
-fn cold_return_where_those_who_saw_it_fail_push_it_over() {
-    only(Rule::ColdReturn, |s| fallen(s, true));
+fn cold_return_if_senders_that_saw_outage_overload_endpoint() {
+    assert_only_violates(Rule::ColdReturn, |facts| overload_after_outage(facts, true));
 }
 
 #[test]
-fn an_endpoint_that_strangers_to_its_outage_push_over_breaks_no_rule() {
-    let mut story = kept();
-    fallen(&mut story, false);
-    assert_eq!(story.broken(), BTreeSet::new());
+fn no_cold_return_if_senders_did_not_see_outage() {
+    let mut facts = valid_play();
+    overload_after_outage(&mut facts, false);
+    assert_eq!(facts.violated(), BTreeSet::new());
 }
 
 #[test]
-fn misdirected_where_a_call_goes_to_another_destination() {
-    only(Rule::Misdirected, |s| {
-        s.called(3_300 * MS, 90, 3, OTHERS).replied(3_400 * MS, 90, Reply::Error);
+fn misdirected_if_call_goes_to_other_destination() {
+    assert_only_violates(Rule::Misdirected, |facts| {
+        facts.called(3_300 * MS, 90, 3, OTHER_ENDPOINT).replied(3_400 * MS, 90, Reply::Error);
     });
 }
 
 #[test]
-fn stray_where_no_client_stands_behind_a_call() {
-    only(Rule::Stray, |s| {
-        s.called(3_300 * MS, 90, 77, ENDPOINT).replied(3_310 * MS, 90, Reply::Error);
+fn stray_if_call_has_no_client_message() {
+    assert_only_violates(Rule::Stray, |facts| {
+        facts.called(3_300 * MS, 90, 77, ENDPOINT).replied(3_310 * MS, 90, Reply::Error);
     });
-    only(Rule::Stray, |s| {
-        s.at(SECOND, FactKind::CallWithoutId { sender: SENDER, endpoint: ENDPOINT });
+    assert_only_violates(Rule::Stray, |facts| {
+        facts.fact(SECOND, FactKind::CallWithoutId { sender: SENDER, endpoint: ENDPOINT });
     });
 }
 
 #[test]
-fn stray_where_the_body_is_another_or_the_attempts_are_too_many() {
-    only(Rule::Stray, |s| {
-        s.at(
+fn stray_if_body_is_changed_or_attempts_exceed_limit() {
+    assert_only_violates(Rule::Stray, |facts| {
+        facts.fact(
             3_300 * MS,
             FactKind::CallReceived {
                 call: 90,
@@ -313,19 +323,19 @@
             },
         );
     });
-    only(Rule::Stray, |s| {
+    assert_only_violates(Rule::Stray, |facts| {
         for call in 90..97 {
-            s.called(3_300 * MS, call, 3, ENDPOINT).replied(3_310 * MS, call, Reply::Error);
+            facts.called(3_300 * MS, call, 3, ENDPOINT).replied(3_310 * MS, call, Reply::Error);
         }
     });
 }
 
 #[test]
-fn stranger_where_one_is_left_alone_answered_late_or_taken_on() {
+fn stranger_if_not_answered_late_or_accepted() {
     for (answered, taken) in [(None, false), (Some(3_100 * MS), false), (None, true)] {
-        only(Rule::Stranger, |s| {
+        assert_only_violates(Rule::Stranger, |facts| {
             let form = "half a head".to_string();
-            s.at(
+            facts.fact(
                 4 * SECOND,
                 FactKind::Stranger { sender: SENDER, form, within: 3 * SECOND, answered, taken },
             );
@@ -334,12 +344,14 @@
 }
 
 #[test]
-fn crash_where_a_sender_ends_unasked_or_is_never_ready() {
-    only(Rule::Crash, |s| {
-        s.life(28 * SECOND, ProcessEvent::Exited { expected: false });
+fn crash_if_process_ends_by_itself_or_is_not_ready() {
+    assert_only_violates(Rule::Crash, |facts| {
+        facts.process(28 * SECOND, ProcessEvent::Exited { expected: false });
     });
-    only(Rule::Crash, |s| {
-        s.life(28 * SECOND, ProcessEvent::Killed).life(28_001 * MS, ProcessEvent::Exited { expected: true });
-        s.life(28_500 * MS, ProcessEvent::Started).life(58_500 * MS, ProcessEvent::NotReady);
+    assert_only_violates(Rule::Crash, |facts| {
+        facts
+            .process(28 * SECOND, ProcessEvent::Killed)
+            .process(28_001 * MS, ProcessEvent::Exited { expected: true });
+        facts.process(28_500 * MS, ProcessEvent::Started).process(58_500 * MS, ProcessEvent::NotReady);
     });
 }
--- a/crates/testbed/tests/sim.rs
+++ b/crates/testbed/tests/sim.rs
@@ -1,4 +1,4 @@
-//! Simulated time: the module alone, at the size of a fleet.
+//! Plays in simulated time: determinism, and the rules at any seed.
 use std::collections::HashMap;
 use std::path::Path;
 use testbed::facts::{FactKind, ProcessEvent};
@@ -9,7 +9,7 @@
 
 fn simulated(text: &str, seed: u64) -> Simulated {
     let spec = Spec::parse(Path::new("test.toml"), text).expect("the experiment is valid");
-    simulate(&Plan::draw(&spec, Seed(seed))).expect("it plays")
+    simulate(&Plan::draw(&spec, Seed(seed))).expect("the play runs")
 }
 
 const FAULTS: &str = "seconds = 30\nsenders = 40\n[traffic]\nrate = 200.0\n[platform]\nendpoints = 24\n\
@@ -25,33 +25,37 @@
     [[event]]\nwhat = 'discovery-refuses'\nat = 5\nfor = 6\n";
 
 #[test]
-fn a_seed_gives_the_same_facts_byte_for_byte_and_another_gives_others() {
+fn facts_depend_on_seed_only() {
     let bytes = |seed| {
         let Simulated { verdict, facts } = simulated(FAULTS, seed);
         serde_json::to_vec(&(verdict, facts)).unwrap()
     };
     let one = bytes(1);
-    assert!(one == bytes(1), "two plays of seed 1 differ");
+    assert!(one == bytes(1), "two plays with seed 1 differ");
     assert!(one != bytes(2));
 }
 
 #[test]
-fn the_module_keeps_the_rules_through_faults_at_any_seed() {
+fn keeps_rules_through_faults_at_any_seed() {
     for seed in 1..=8 {
         let Simulated { verdict, facts } = simulated(FAULTS, seed);
         assert!(verdict.violations.is_empty(), "seed {seed}: {:#?}", verdict.violations);
         let c = &verdict.counts;
         assert!(c.in_time * 2 > c.asked && c.asked > 5_000, "seed {seed}: {c:?}");
-        let lives = |l: ProcessEvent| {
-            facts.iter().filter(|f| matches!(f.kind, FactKind::Process { event, .. } if event == l)).count()
+        let count = |wanted: ProcessEvent| {
+            facts
+                .iter()
+                .filter(|f| matches!(f.kind, FactKind::Process { event, .. } if event == wanted))
+                .count()
         };
-        assert_eq!((lives(ProcessEvent::Killed), lives(ProcessEvent::Ready)), (20, 68), "seed {seed}");
+        assert_eq!((count(ProcessEvent::Killed), count(ProcessEvent::Ready)), (20, 68), "seed {seed}");
     }
 }
 
-/// A list that is told late is told in order: an endpoint that is gone does not come back as one that drains.
+/// Changes of the list are delayed by random times. If they were sent out of order, an endpoint that is gone
+/// would come back as one that drains.
 #[test]
-fn changes_of_the_list_are_told_in_their_order_however_late_each_is() {
+fn delayed_list_changes_are_sent_in_order() {
     let text = "seconds = 30\n[platform]\nnotice_s = [0.0, 9.0]\n\
         [[event]]\nwhat = 'replace'\nat = 2\nfor = 8\npart = 1.0\n";
     for seed in 1..=10 {
@@ -61,8 +65,10 @@
             match fact.kind {
                 FactKind::EndpointChanged { endpoint, lifecycle } => order.push((endpoint, lifecycle)),
                 FactKind::ChangeSent { sender, endpoint, lifecycle } => {
-                    let place =
-                        order.iter().position(|c| *c == (endpoint, lifecycle)).expect("it has changed");
+                    let place = order
+                        .iter()
+                        .position(|c| *c == (endpoint, lifecycle))
+                        .expect("the change was recorded");
                     let before = last.insert((sender, endpoint), place);
                     assert!(
                         before.is_none_or(|b| b <= place),
