--- a/crates/testbed/src/judge/fact_index.rs
+++ b/crates/testbed/src/judge/fact_index.rs
@@ -13,7 +13,7 @@
 const RESTART_GRACE: Ns = 1_500 * MS;
 /// A change of the list counts as known to a sender after this time, whether discovery has sent it or not.
 const KNOWN_AFTER_CHANGE: Ns = 6 * SECOND;
-/// The same for a new process, from its readiness.
+/// But it does not count as known earlier than this time after the sender's process became ready.
 const KNOWN_AFTER_READY: Ns = 2 * SECOND;
 
 /// A message as handed in once, under one id.
--- a/crates/testbed/src/sim/world/processes.rs
+++ b/crates/testbed/src/sim/world/processes.rs
@@ -46,9 +46,9 @@
                     self.release_message(sender, id, HandInResult::Failed, Notice::GivenUp, None)
                 }
                 Action::Cancel { id, attempt } => {
-                    let is = |c: &Call| c.sender == sender && c.id == id && c.attempt == attempt;
+                    let is_cancelled = |c: &Call| c.sender == sender && c.id == id && c.attempt == attempt;
                     // The lowest number, as the iteration order of the map is not deterministic.
-                    let call = self.calls.iter().filter(|(_, c)| is(c)).map(|(n, _)| *n).min();
+                    let call = self.calls.iter().filter(|(_, c)| is_cancelled(c)).map(|(n, _)| *n).min();
                     if let Some(call) = call {
                         self.cancel_call(call, Outcome::CalledOff);
                     }
