--- a/crates/testbed/src/judge/rules.rs
+++ b/crates/testbed/src/judge/rules.rs
@@ -222,8 +222,8 @@
         fails && index.terms.dest_of[c.endpoint as usize] == dest && (from..=to).contains(&c.last)
     });
     let held = index.messages.values().filter(|m| {
-        let of = index.requests.get(&m.request).is_some_and(|r| r.dest == dest);
-        of && m.accepted_at().is_some_and(|t| t <= to) && index.ended_at(m).is_none_or(|e| e >= from)
+        let for_dest = index.requests.get(&m.request).is_some_and(|r| r.dest == dest);
+        for_dest && m.accepted_at().is_some_and(|t| t <= to) && index.ended_at(m).is_none_or(|e| e >= from)
     });
     called.map(|c| c.sender).chain(held.map(|m| m.sender)).collect()
 }
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -398,7 +398,7 @@
     dests: &[Destination],
     senders: &[Sender],
 ) -> Vec<DrawnEvent<'a>> {
-    let one = |(i, event): (usize, &'a Event)| {
+    let draw_event = |(i, event): (usize, &'a Event)| {
         let kind = *event.kind.get_ref();
         let weights: Vec<f64> = match kind {
             _ if kind.affects_discovery() => Vec::new(),
@@ -413,7 +413,7 @@
         };
         DrawnEvent { event, kind, at, until: at + from_seconds(event.duration_s), numbers }
     };
-    spec.event.iter().enumerate().map(one).collect()
+    spec.event.iter().enumerate().map(draw_event).collect()
 }
 
 /// Draws numbers by weight until their weights add up to at least `part`.
@@ -434,40 +434,40 @@
 /// Returns the steps of all events in the order of their times, and adds the endpoints that replace others.
 fn schedule(events: &[DrawnEvent], dests: &[Destination], endpoints: &mut Vec<Endpoint>) -> Vec<Step> {
     let mut steps = Vec::new();
-    for s in events {
+    for drawn in events {
         let mut step = |at: Ns, action: StepAction| steps.push(Step { at, action });
-        if s.kind.affects_discovery() {
-            let size = s.event.size.unwrap_or(1.0);
-            step(s.at, StepAction::Discovery { kind: s.kind, size, begins: true });
-            if !s.kind.is_instantaneous() {
-                step(s.until, StepAction::Discovery { kind: s.kind, size, begins: false });
+        if drawn.kind.affects_discovery() {
+            let size = drawn.event.size.unwrap_or(1.0);
+            step(drawn.at, StepAction::Discovery { kind: drawn.kind, size, begins: true });
+            if !drawn.kind.is_instantaneous() {
+                step(drawn.until, StepAction::Discovery { kind: drawn.kind, size, begins: false });
             }
             continue;
         }
-        for &number in &s.numbers {
-            match s.kind {
+        for &number in &drawn.numbers {
+            match drawn.kind {
                 kind if kind.affects_links() => {
-                    let Some(link) = s.event.link else { continue };
-                    let size = s.event.size.unwrap_or(1.0);
-                    let does = |begins| StepAction::Link { sender: number, link, kind, size, begins };
-                    step(s.at, does(true));
+                    let Some(link) = drawn.event.link else { continue };
+                    let size = drawn.event.size.unwrap_or(1.0);
+                    let action = |begins| StepAction::Link { sender: number, link, kind, size, begins };
+                    step(drawn.at, action(true));
                     if !kind.is_instantaneous() {
-                        step(s.until, does(false));
+                        step(drawn.until, action(false));
                     }
                 }
                 EventKind::Kill => {
-                    step(s.at, StepAction::Kill { sender: number });
-                    step(s.until, StepAction::Start { sender: number, folder: s.event.folder });
+                    step(drawn.at, StepAction::Kill { sender: number });
+                    step(drawn.until, StepAction::Start { sender: number, folder: drawn.event.folder });
                 }
                 EventKind::Terminate => {
-                    step(s.at, StepAction::Terminate { sender: number });
-                    step(s.at + KILL_DELAY, StepAction::Kill { sender: number });
-                    let at = s.until + KILL_DELAY;
-                    step(at, StepAction::Start { sender: number, folder: s.event.folder });
+                    step(drawn.at, StepAction::Terminate { sender: number });
+                    step(drawn.at + KILL_DELAY, StepAction::Kill { sender: number });
+                    let at = drawn.until + KILL_DELAY;
+                    step(at, StepAction::Start { sender: number, folder: drawn.event.folder });
                 }
                 EventKind::Pause => {
-                    step(s.at, StepAction::Pause { sender: number });
-                    step(s.until, StepAction::Continue { sender: number });
+                    step(drawn.at, StepAction::Pause { sender: number });
+                    step(drawn.until, StepAction::Continue { sender: number });
                 }
                 EventKind::Replace => {
                     let Some(&old) = dests[number as usize].endpoints.get(1) else { continue };
@@ -475,16 +475,16 @@
                     let template = endpoints[old as usize].clone();
                     let name = format!("{}-b", template.name);
                     endpoints.push(Endpoint { name, listed: false, ..template });
-                    step(s.at, StepAction::Drain { endpoint: old });
-                    step(s.at + DRAIN_SPAN, StepAction::Remove { endpoint: old });
-                    step(s.until.max(s.at + DRAIN_SPAN), StepAction::Add { endpoint: new });
+                    step(drawn.at, StepAction::Drain { endpoint: old });
+                    step(drawn.at + DRAIN_SPAN, StepAction::Remove { endpoint: old });
+                    step(drawn.until.max(drawn.at + DRAIN_SPAN), StepAction::Add { endpoint: new });
                 }
                 // These only change the arrivals.
                 EventKind::HotDestination | EventKind::HotSender => {}
                 kind => {
-                    let size = s.event.size.unwrap_or(1.0);
-                    step(s.at, StepAction::Begin { dest: number, kind, size, until: s.until });
-                    step(s.until, StepAction::End { dest: number, kind });
+                    let size = drawn.event.size.unwrap_or(1.0);
+                    step(drawn.at, StepAction::Begin { dest: number, kind, size, until: drawn.until });
+                    step(drawn.until, StepAction::End { dest: number, kind });
                 }
             }
         }
@@ -513,9 +513,9 @@
     let mut sampler = MessageSampler::new(seed, spec, dests, senders, events, classes);
     let mut all = Vec::new();
     // Draws a Poisson process of the highest rate and thins it to the current rate.
-    let top =
+    let max_rate =
         traffic.rate * (1.0 - traffic.clumps) * (1.0 + traffic.swing) * (1.0 + sampler.max_extra_traffic());
-    let gap = Exp::new(top / SECOND as f64).expect("a positive rate");
+    let gap = Exp::new(max_rate / SECOND as f64).expect("a positive rate");
     let mut at = 0.0;
     loop {
         at += gap.sample(&mut random);
@@ -527,7 +527,7 @@
             * (1.0 - traffic.clumps)
             * rate_factor(spec, now)
             * (1.0 + sampler.extra_traffic(now));
-        if random.random::<f64>() * top < rate {
+        if random.random::<f64>() * max_rate < rate {
             all.push(sampler.message(now, None));
         }
     }
@@ -620,12 +620,12 @@
         let mut sender = None;
         let mut hot_dest = None;
         if self.random.random::<f64>() * (1.0 + hot) < hot {
-            let ones: Vec<(EventKind, f64, Vec<u32>)> = self
+            let hot_events: Vec<(EventKind, f64, Vec<u32>)> = self
                 .active_hot_events(at)
                 .map(|s| (s.kind, s.event.size.unwrap_or(0.0), s.numbers.clone()))
                 .collect();
-            let weights: Vec<f64> = ones.iter().map(|o| o.1 / (1.0 - o.1)).collect();
-            let (kind, _, numbers) = &ones[pick_weighted(&mut self.random, &weights)];
+            let weights: Vec<f64> = hot_events.iter().map(|o| o.1 / (1.0 - o.1)).collect();
+            let (kind, _, numbers) = &hot_events[pick_weighted(&mut self.random, &weights)];
             let number = numbers[self.random.random_range(0..numbers.len())] as usize;
             match kind {
                 EventKind::HotSender => sender = Some(number),
@@ -696,8 +696,8 @@
         let hot = "seconds = 200\n[[event]]\nwhat = 'hot-destination'\nat = 100\nfor = 100\nwhich = [7]\nsize = 0.4";
         let plan = Plan::draw(&spec(hot), Seed(3));
         let share = |from: Ns, to: Ns| {
-            let of = plan.arrivals.iter().filter(|a| (from..to).contains(&a.at));
-            of.clone().filter(|a| a.dest == 7).count() as f64 / of.count() as f64
+            let in_span = plan.arrivals.iter().filter(|a| (from..to).contains(&a.at));
+            in_span.clone().filter(|a| a.dest == 7).count() as f64 / in_span.count() as f64
         };
         let (before, after) = (share(0, 100 * SECOND), share(100 * SECOND, 200 * SECOND));
         assert!(before < 0.1 && (after - before - 0.4).abs() < 0.08, "{before}, then {after}");
