--- a/crates/cairnpulley/tests/cli.rs
+++ b/crates/cairnpulley/tests/cli.rs
@@ -27,7 +27,7 @@
 }
 
 fn sender() -> String {
-    program::of_test().expect("the whole workspace is built").display().to_string()
+    program::find_for_test().expect("the whole workspace is built").display().to_string()
 }
 
 #[test]
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients on sockets: messages are handed in when the plan says so, whatever the senders do (open loop), with the
-//! patience and the habits of the protocol.
+//! Clients on sockets: an open-loop load generator that hands messages in at their planned times, whatever the senders
+//! do, with the timeout and the retries of the protocol.
 use crate::client_retry::{HandInEnd, RetryState, TryKind};
 use crate::clock::{from_seconds, to_duration, Ns, MS};
 use crate::endpoints::StubContext;
@@ -16,33 +16,34 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// A client waits so long for the sender's answer (PROTOCOL).
-const PATIENCE: Duration = Duration::from_millis(400);
-/// Connections that stand idle longer are not used again.
-const IDLE: Duration = Duration::from_secs(30);
-/// A sender's door as its clients see it.
-struct Door {
+/// Time that a client waits for the sender's response (PROTOCOL).
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Connections that have been idle for longer are not reused.
+const MAX_IDLE: Duration = Duration::from_secs(30);
+/// The clients' connection pool to one sender.
+struct ConnectionPool {
     address: SocketAddr,
     idle: Mutex<Vec<(Connection, Instant)>>,
 }
 
 struct Shared {
     plan: Arc<Plan>,
-    doors: Vec<Door>,
-    ground: StubContext,
-    /// The play's zero on the ground's clock.
-    from: Ns,
+    pools: Vec<ConnectionPool>,
+    context: StubContext,
+    /// When the planned time 0 is on the testbed's clock.
+    start: Ns,
 }
 
-/// Hands in all messages of the plan, from `from` on the ground's clock; ends once the clients are through with them.
-pub async fn run(plan: &Arc<Plan>, doors: &[SocketAddr], ground: &StubContext, from: Ns) {
-    let door = |address: &SocketAddr| Door { address: *address, idle: Mutex::default() };
-    let doors = doors.iter().map(door).collect();
-    let shared = Arc::new(Shared { plan: plan.clone(), doors, ground: ground.clone(), from });
+/// Hands in all messages of the plan, counted from `start` on the testbed's clock, and returns once all clients have
+/// finished.
+pub async fn run(plan: &Arc<Plan>, addresses: &[SocketAddr], context: &StubContext, start: Ns) {
+    let pool = |address: &SocketAddr| ConnectionPool { address: *address, idle: Mutex::default() };
+    let pools = addresses.iter().map(pool).collect();
+    let shared = Arc::new(Shared { plan: plan.clone(), pools, context: context.clone(), start });
     let mut clients = JoinSet::new();
     for (number, arrival) in plan.arrivals.iter().enumerate() {
-        ground.clock.sleep_until(from + arrival.at).await;
-        ground.lag.record(from + arrival.at, ground.clock.now());
+        context.clock.sleep_until(start + arrival.at).await;
+        context.lag.record(start + arrival.at, context.clock.now());
         clients.spawn(shared.clone().client(number as u32, arrival.clone()));
         while clients.try_join_next().is_some() {}
     }
@@ -50,13 +51,13 @@
 }
 
 impl Shared {
-    /// One message, from its first hand-in to its end as far as its client cares.
+    /// Hands one message in, with retries, until its client is done with it.
     async fn client(self: Arc<Self>, request: u32, arrival: Arrival) {
         let mut random = self.plan.seed.stream("client", request.into());
         let (dest, class) = (arrival.dest, arrival.class);
-        // The time of the plan counts, not that at which the testbed came to it.
-        let planned = self.from + arrival.at;
-        self.ground.fact_log.record(FactKind::Requested {
+        // The planned time counts, not the time at which the testbed got to it.
+        let planned = self.start + arrival.at;
+        self.context.fact_log.record(FactKind::Requested {
             request,
             sender: arrival.sender,
             dest,
@@ -64,12 +65,12 @@
             planned,
         });
         let due = planned + self.plan.terms.classes[class].deadline;
-        let mut handed = NewMessage { dest, work: arrival.work, due, body: vec![0; arrival.size] };
-        random.fill_bytes(&mut handed.body);
+        let mut message = NewMessage { dest, work: arrival.work, due, body: vec![0; arrival.size] };
+        random.fill_bytes(&mut message.body);
         let mut client = RetryState::new(arrival.sender, due);
         loop {
-            let end = self.hand_in(&mut random, request, &client, class, &handed).await;
-            let (now, senders) = (self.ground.clock.now(), self.doors.len() as u32);
+            let end = self.hand_in(&mut random, request, &client, class, &message).await;
+            let (now, senders) = (self.context.clock.now(), self.pools.len() as u32);
             let Some(wait) = client.next_wait(end, now, senders, &self.plan.spec.clients, &mut random) else {
                 return;
             };
@@ -83,22 +84,23 @@
         request: u32,
         client: &RetryState,
         class: usize,
-        handed: &NewMessage,
+        message: &NewMessage,
     ) -> HandInEnd {
-        let ground = &self.ground;
-        let (id, back) = ground.messages.register(random, handed);
-        let head = self.head(id, class, client.try_kind, handed);
-        let heard = self.ask(client.sender, request, id, &head, handed).await;
-        let (heard, retry_after) = match &heard {
-            Ok(answer) => (verdict(answer), retry_after(answer)),
-            Err(heard) => (*heard, None),
+        let context = &self.context;
+        let (id, handed_back) = context.messages.register(random, message);
+        let head = self.head(id, class, client.try_kind, message);
+        let response = self.ask(client.sender, request, id, &head, message).await;
+        let (result, retry_after) = match &response {
+            Ok(response) => (hand_in_result(response), retry_after(response)),
+            Err(result) => (*result, None),
         };
-        if heard == HandInResult::Accepted {
-            ground.messages.note_accepted(id);
+        if result == HandInResult::Accepted {
+            context.messages.note_accepted(id);
         }
-        ground.fact_log.record(FactKind::HandInEnded { message: id, result: heard });
-        match heard {
-            HandInResult::Accepted => match timeout_at(ground.clock.instant(handed.due), back).await {
+        context.fact_log.record(FactKind::HandInEnded { message: id, result });
+        match result {
+            HandInResult::Accepted => match timeout_at(context.clock.instant(message.due), handed_back).await
+            {
                 Ok(Ok(retry_in)) => HandInEnd::Refused(retry_in),
                 _ => HandInEnd::Final,
             },
@@ -110,100 +112,104 @@
         }
     }
 
-    fn head(&self, id: MessageId, class: usize, which: TryKind, handed: &NewMessage) -> String {
+    fn head(&self, id: MessageId, class: usize, try_kind: TryKind, message: &NewMessage) -> String {
         let name = &self.plan.terms.classes[class].name;
-        let left = (handed.due - self.ground.clock.now()).max(MS) / MS;
-        let second = match which {
+        let time_left = (message.due - self.context.clock.now()).max(MS) / MS;
+        let retry_header = match try_kind {
             TryKind::First => "",
             TryKind::AfterRefusal => "X-Second-Try: 1\r\n",
             TryKind::AfterNoAnswer => "X-Second-Try: again\r\n",
         };
         format!(
             "POST /{name} HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: {}\r\nX-Qos: {name}\r\n\
-             X-Expires-In-Ms: {left}\r\n{second}Content-Length: {}\r\nX-Consignee: dest={}\r\n\r\n",
+             X-Expires-In-Ms: {time_left}\r\n{retry_header}Content-Length: {}\r\nX-Consignee: dest={}\r\n\r\n",
             messages::format_id(id),
-            handed.body.len(),
-            handed.dest
+            message.body.len(),
+            message.dest
         )
     }
 
-    /// One request on a kept connection or a new one; once more on a new one where a kept one ends before a byte of
-    /// the answer, as the sender may have closed it between requests.
+    /// Sends one request on a pooled connection or a new one.
+    ///
+    /// Repeats it on a new connection if a pooled one closes before the first byte of the response, as the sender may
+    /// have closed it between requests.
     async fn ask(
         &self,
         sender: u32,
         request: u32,
         id: MessageId,
         head: &str,
-        handed: &NewMessage,
+        message: &NewMessage,
     ) -> Result<Message, HandInResult> {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + RESPONSE_TIMEOUT;
         let mut bytes = head.as_bytes().to_vec();
-        bytes.extend_from_slice(&handed.body);
-        let door = &self.doors[sender as usize];
-        // Before it is written: what a sender does with it must not seem to come before it.
-        let due = handed.due;
-        self.ground.fact_log.record(FactKind::HandedIn { message: id, request, sender, due });
-        if let Some(mut link) = door.kept() {
-            if link.write(&bytes).await.is_ok() {
-                match answer(&mut link, until).await {
-                    Ok(answer) => {
-                        door.keep(link, &answer);
-                        return Ok(answer);
+        bytes.extend_from_slice(&message.body);
+        let pool = &self.pools[sender as usize];
+        // Recorded before it is sent, so that no fact about its effects can precede it.
+        let due = message.due;
+        self.context.fact_log.record(FactKind::HandedIn { message: id, request, sender, due });
+        if let Some(mut connection) = pool.take() {
+            if connection.write(&bytes).await.is_ok() {
+                match read_response(&mut connection, deadline).await {
+                    Ok(response) => {
+                        pool.put_back(connection, &response);
+                        return Ok(response);
                     }
                     Err(HandInResult::Closed) => {}
-                    Err(heard) => return Err(heard),
+                    Err(result) => return Err(result),
                 }
             }
         }
-        let stream = timeout_at(until, TcpStream::connect(door.address)).await;
+        let stream = timeout_at(deadline, TcpStream::connect(pool.address)).await;
         let Ok(Ok(stream)) = stream else { return Err(HandInResult::NoConnection) };
-        let mut link = Connection::new(stream, self.ground.clock);
-        if link.write(&bytes).await.is_err() {
+        let mut connection = Connection::new(stream, self.context.clock);
+        if connection.write(&bytes).await.is_err() {
             return Err(HandInResult::NoConnection);
         }
-        let answer = answer(&mut link, until).await?;
-        door.keep(link, &answer);
-        Ok(answer)
+        let response = read_response(&mut connection, deadline).await?;
+        pool.put_back(connection, &response);
+        Ok(response)
     }
 }
 
-impl Door {
-    fn kept(&self) -> Option<Connection> {
+impl ConnectionPool {
+    /// Takes an idle connection that is not too old.
+    fn take(&self) -> Option<Connection> {
         let mut idle = self.idle.lock().expect("no holder panics");
-        while let Some((link, since)) = idle.pop() {
-            if since.elapsed() < IDLE {
-                return Some(link);
+        while let Some((connection, since)) = idle.pop() {
+            if since.elapsed() < MAX_IDLE {
+                return Some(connection);
             }
         }
         None
     }
 
-    fn keep(&self, link: Connection, answer: &Message) {
-        if !answer.closes() && link.unread().is_empty() {
-            self.idle.lock().expect("no holder panics").push((link, Instant::now()));
+    /// Returns a connection to the pool, unless the response closes it or unread bytes are left.
+    fn put_back(&self, connection: Connection, response: &Message) {
+        if !response.closes() && connection.unread().is_empty() {
+            self.idle.lock().expect("no holder panics").push((connection, Instant::now()));
         }
     }
 }
 
-async fn answer(link: &mut Connection, until: Instant) -> Result<Message, HandInResult> {
-    match timeout_at(until, link.read_response()).await {
+async fn read_response(connection: &mut Connection, deadline: Instant) -> Result<Message, HandInResult> {
+    match timeout_at(deadline, connection.read_response()).await {
         Err(_) => Err(HandInResult::TimedOut),
-        Ok(Ok(answer)) => Ok(answer),
+        Ok(Ok(response)) => Ok(response),
         Ok(Err(HttpError::Malformed(_))) => Err(HandInResult::Failed),
         Ok(Err(_)) => Err(HandInResult::Closed),
     }
 }
 
-fn verdict(answer: &Message) -> HandInResult {
-    match answer.start {
+fn hand_in_result(response: &Message) -> HandInResult {
+    match response.start {
         Start::Status(200 | 202) => HandInResult::Accepted,
         Start::Status(429 | 503) => HandInResult::Refused,
         _ => HandInResult::Failed,
     }
 }
 
-fn retry_after(answer: &Message) -> Option<Ns> {
-    let told: f64 = answer.header("retry-after")?.parse().ok()?;
-    (told.is_finite() && told >= 0.0).then(|| from_seconds(told))
+fn retry_after(response: &Message) -> Option<Ns> {
+    let retry_after_s: f64 = response.header("retry-after")?.parse().ok()?;
+    (retry_after_s.is_finite() && retry_after_s >= 0.0).then(|| from_seconds(retry_after_s))
 }
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -147,9 +147,9 @@
 fn open(shared: &Arc<Shared>) -> io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
     for sender in 0..shared.plan.senders.len() as u32 {
-        let at = addresses::free()?;
+        let at = addresses::reserve()?;
         tokio::spawn(shared.clone().accept(sender, addresses::listen(at)?));
-        addresses.push(shared.links.front(Link::Discovery, sender, at)?);
+        addresses.push(shared.links.connect_address(Link::Discovery, sender, at)?);
     }
     Ok(addresses)
 }
--- a/crates/testbed/src/endpoints.rs
+++ b/crates/testbed/src/endpoints.rs
@@ -1,7 +1,7 @@
 //! Endpoints on sockets. Each pair of sender and endpoint has its own listener, so that the address tells
 //! which sender calls. `platform::destination` decides how calls are answered; this module reads the calls
 //! and writes the answers.
-use crate::addresses::{self, Door};
+use crate::addresses::{self, BlackholeListener};
 use crate::clock::{Clock, Ns, MS};
 use crate::facts::{FactKind, FactLog, Reply};
 use crate::http::{self, Connection, HttpError, Message, Start};
@@ -128,8 +128,12 @@
                 let max = drawn.connections.unwrap_or(usize::MAX);
                 let connection_limit = Arc::new(ConnectionLimit { connections: AtomicUsize::new(0), max });
                 for (sender, drawn_sender) in plan.senders.iter().enumerate() {
-                    let at = addresses::free()?;
-                    addresses[*endpoint as usize].push(links.front(Link::Endpoints, sender as u32, at)?);
+                    let at = addresses::reserve()?;
+                    addresses[*endpoint as usize].push(links.connect_address(
+                        Link::Endpoints,
+                        sender as u32,
+                        at,
+                    )?);
                     let stub = EndpointStub {
                         dest: dest.clone(),
                         index,
@@ -143,7 +147,7 @@
                         next_call: next_call.clone(),
                         context: context.clone(),
                     };
-                    let first_listener = drawn.listed.then(|| Door::open(at)).transpose()?;
+                    let first_listener = drawn.listed.then(|| BlackholeListener::open(at)).transpose()?;
                     tokio::spawn(stub.listen(at, first_listener));
                 }
             }
@@ -247,7 +251,7 @@
 
 impl EndpointStub {
     /// Accepts connections until the play ends; listens only while the endpoint is not down.
-    async fn listen(self, at: SocketAddr, mut first_listener: Option<Door>) {
+    async fn listen(self, at: SocketAddr, mut first_listener: Option<BlackholeListener>) {
         let mut phase = self.dest.phases[self.index].subscribe();
         loop {
             let now = *phase.borrow_and_update();
@@ -270,7 +274,7 @@
                     break;
                 }
                 // A silent machine does not complete the handshake of new connections.
-                listener.set_silent(now == Phase::Silent);
+                listener.set_blackholed(now == Phase::Silent);
                 tokio::select! {
                     changed = phase.changed() => if changed.is_err() { return },
                     stream = listener.accept(), if now == Phase::Up => {
@@ -282,10 +286,10 @@
     }
 
     /// Listens at an address, with retries. After the last one it declares the play void.
-    async fn bind(&self, at: SocketAddr) -> Option<Door> {
+    async fn bind(&self, at: SocketAddr) -> Option<BlackholeListener> {
         let mut failed = None;
         for _ in 0..REBIND_ATTEMPTS {
-            match Door::open(at) {
+            match BlackholeListener::open(at) {
                 Ok(listener) => return Some(listener),
                 Err(error) => failed = Some(error),
             }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -4,7 +4,7 @@
 //! A play has a stub platform, clients, faults and a judge; `docs/design/proving-ground.md` says what is
 //! checked. `spec` reads an experiment, and `plan` draws all of a play from it and a seed. `platform`,
 //! `judge` and `score` are pure logic that takes time and randomness as arguments. `endpoints`, `discovery`,
-//! `clients`, `strangers` and `process` are the sockets and processes around it, and `play` runs them; `sim`
+//! `clients`, `faulty_clients` and `process` are the sockets and processes around it, and `play` runs them; `sim`
 //! plays in simulated time. `scale` and `capacity` measure large deployments.
 pub mod addresses;
 pub mod capacity;
@@ -15,6 +15,7 @@
 pub mod discovery;
 pub mod endpoints;
 pub mod facts;
+pub mod faulty_clients;
 pub mod http;
 pub mod judge;
 pub mod links;
@@ -34,4 +35,3 @@
 pub mod seed;
 pub mod sim;
 pub mod spec;
-pub mod strangers;
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -5,17 +5,17 @@
 use crate::discovery::Discovery;
 use crate::endpoints::{Endpoints, StubContext};
 use crate::facts::{Fact, FactKind, FactLog};
+use crate::faulty_clients;
 use crate::judge::{self, FactIndex, Violation};
 use crate::links::Links;
-use crate::machine::{self, Ticks};
+use crate::machine::{self, ProcessorTicks};
 use crate::messages::MessageRegistry;
 use crate::plan::{Plan, StepAction};
 use crate::platform::list::Lifecycle;
-use crate::process::{Blow, Phase, ProcessError, Sender};
+use crate::process::{Phase, ProcessError, ProcessSignal, Sender};
 use crate::scheduling_lag::{self, SchedulingLag};
 use crate::score::{self, Counts, Latency, Service};
 use crate::spec::{EventKind, Link, StateFolder};
-use crate::strangers;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -113,7 +113,7 @@
     work: &Path,
     progress: &watch::Sender<Progress>,
 ) -> Result<Played, PlayError> {
-    let max_senders = machine::senders_by_descriptors(plan.endpoints.len());
+    let max_senders = machine::sender_capacity_by_descriptors(plan.endpoints.len());
     if plan.senders.len() > max_senders {
         return Err(PlayError::Descriptors { senders: plan.senders.len(), max_senders });
     }
@@ -129,15 +129,16 @@
     let mut environment = Environment::new(plan, program, work, &context)?;
     environment.start_all(Duration::from_secs_f64(plan.spec.program.ready_s), progress).await?;
     let start = clock.now();
-    let before = Ticks::now().map_err(PlayError::Machine)?;
+    let before = ProcessorTicks::now().map_err(PlayError::Machine)?;
     // Invalid peers connect to the sender itself, not over the link of its clients.
     let sender_addresses: Vec<_> = environment.senders.iter().map(Sender::address).collect();
-    let client_address = |s: &Sender| environment.links.front(Link::Clients, s.number(), s.address());
+    let client_address =
+        |s: &Sender| environment.links.connect_address(Link::Clients, s.number(), s.address());
     let client_addresses = environment.senders.iter().map(client_address).collect::<Result<Vec<_>, _>>()?;
     let traffic = async {
         tokio::join!(
             clients::run(plan, &client_addresses, &context, start),
-            strangers::run(plan, &sender_addresses, &context, start),
+            faulty_clients::run(plan, &sender_addresses, &context, start),
         );
     };
     let report_progress = async {
@@ -164,7 +165,7 @@
         finished = finish => finished?,
         () = report_progress => {}
     }
-    let busy = Ticks::now().map_err(PlayError::Machine)?.busy_since(&before);
+    let busy = ProcessorTicks::now().map_err(PlayError::Machine)?.busy_since(&before);
     environment.shut_down().await;
     progress.send_replace(Progress::Finished);
     let facts: Vec<Fact> = context.fact_log.take().into_iter().map(|f| f.shifted(start)).collect();
@@ -183,7 +184,7 @@
     let verdict = Verdict {
         void,
         lateness_p99_ms: lag as f64 / MS as f64,
-        max_senders: Some(machine::senders(plan.senders.len(), busy).min(max_senders)),
+        max_senders: Some(machine::sender_capacity(plan.senders.len(), busy).min(max_senders)),
         ..verdict(plan, &facts)
     };
     Ok(Played { verdict, facts })
@@ -265,7 +266,7 @@
     async fn start(&mut self, sender: u32, folder: StateFolder) -> Result<(), PlayError> {
         let known = self.discovery.known(sender);
         let next = (sender as usize + 1) % self.senders.len();
-        let other = self.senders[next].state();
+        let other = self.senders[next].state_folder();
         let seed = self.seeds.next_u64();
         Ok(self.senders[sender as usize].start(folder, &other, known, seed).await?)
     }
@@ -293,14 +294,18 @@
             StepAction::Drain { endpoint } => set_lifecycle(endpoint, Lifecycle::Terminating),
             StepAction::Remove { endpoint } => set_lifecycle(endpoint, Lifecycle::Gone),
             StepAction::Add { endpoint } => set_lifecycle(endpoint, Lifecycle::Ready),
-            StepAction::Kill { sender } => self.senders[sender as usize].strike(Blow::Kill),
-            StepAction::Terminate { sender } => self.senders[sender as usize].strike(Blow::Terminate),
-            StepAction::Pause { sender } => self.senders[sender as usize].strike(Blow::Pause),
-            StepAction::Continue { sender } => self.senders[sender as usize].strike(Blow::Continue),
+            StepAction::Kill { sender } => self.senders[sender as usize].send_signal(ProcessSignal::Kill),
+            StepAction::Terminate { sender } => {
+                self.senders[sender as usize].send_signal(ProcessSignal::Terminate)
+            }
+            StepAction::Pause { sender } => self.senders[sender as usize].send_signal(ProcessSignal::Pause),
+            StepAction::Continue { sender } => {
+                self.senders[sender as usize].send_signal(ProcessSignal::Continue)
+            }
             StepAction::Start { sender, folder } => self.start(sender, folder).await?,
             StepAction::Link { sender, link, kind, size, begins } => {
                 self.context.fact_log.record(FactKind::LinkFault { sender, link, kind, begins });
-                self.links.strike(link, sender, kind, size, begins);
+                self.links.apply_fault(link, sender, kind, size, begins);
             }
             StepAction::Discovery { kind: EventKind::DiscoveryMoves, .. } => {
                 self.context
@@ -323,14 +328,14 @@
     /// ended.
     async fn shut_down(&mut self) {
         for sender in &mut self.senders {
-            sender.strike(Blow::Continue);
-            sender.strike(Blow::Terminate);
+            sender.send_signal(ProcessSignal::Continue);
+            sender.send_signal(ProcessSignal::Terminate);
         }
         let until = Instant::now() + SHUTDOWN_TIMEOUT;
         for sender in &mut self.senders {
             let mut phase = sender.phase();
             if tokio::time::timeout_at(until, phase.wait_for(|p| *p == Phase::Down)).await.is_err() {
-                sender.strike(Blow::Kill);
+                sender.send_signal(ProcessSignal::Kill);
                 let _ = timeout(SHUTDOWN_TIMEOUT, phase.wait_for(|p| *p == Phase::Down)).await;
             }
         }
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,5 +1,5 @@
-//! Senders as child processes: each in a process group of its own, killed by the kernel where the testbed dies, its
-//! log kept up to a bound.
+//! Senders as child processes: each has a process group of its own, is killed by the kernel if the testbed dies, and
+//! has its log kept up to a size limit.
 use crate::addresses;
 use crate::endpoints::StubContext;
 use crate::facts::{FactKind, ProcessEvent};
@@ -19,29 +19,31 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout, Instant};
 
-/// How often a sender is asked whether it is ready, and how long each time.
-const ASK_EVERY: Duration = Duration::from_millis(20);
-const ANSWERS_WITHIN: Duration = Duration::from_secs(1);
-/// A process that got SIGKILL has ended by then, unless something is wrong with the machine.
-const ENDS_WITHIN: Duration = Duration::from_secs(10);
-/// Bytes of a process's output that are kept; what is past it is read and dropped, so that the process goes on.
-const LOG_BOUND: u64 = 64 << 20;
+/// Interval between two readiness checks of a starting sender.
+const READINESS_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of one readiness check.
+const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time within which a process that got SIGKILL has ended, unless something is wrong with the machine.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Bytes kept of a process's output. Output beyond it is read and discarded, so that the process does not block.
+const MAX_LOG_BYTES: u64 = 64 << 20;
 
+/// Why a sender's process cannot be started or ended.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
     #[error("cannot start {program}: {error}")]
     Spawn { program: PathBuf, error: io::Error },
     #[error("cannot write {path}: {error}")]
     File { path: PathBuf, error: io::Error },
-    #[error("sender {sender} has not ended after SIGKILL")]
-    Lingers { sender: u32 },
-    #[error("no address for a sender: {0}")]
+    #[error("the previous process of sender {sender} has not ended in time")]
+    NotEnded { sender: u32 },
+    #[error("cannot reserve a loopback address for a sender: {0}")]
     Address(io::Error),
 }
 
-/// What a schedule does to a running process.
+/// A signal that a schedule sends to a running process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Blow {
+pub enum ProcessSignal {
     Kill,
     Terminate,
     Pause,
@@ -49,6 +51,7 @@
     Reload,
 }
 
+/// State of a sender's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Down,
@@ -56,35 +59,35 @@
     Ready,
 }
 
-/// One sender: its place in the testbed, which outlasts its processes.
+/// One sender of the testbed, with its address and folder; it outlives its successive processes.
 pub struct Sender {
     number: u32,
     program: PathBuf,
     folder: PathBuf,
     address: SocketAddr,
-    /// As the platform writes it; discovery's address changes when it moves.
+    /// Contents of `config.json` as the platform writes it; `discovery` changes when discovery moves.
     config: Value,
     ready_within: Duration,
     phase: Arc<watch::Sender<Phase>>,
-    blows: Option<mpsc::UnboundedSender<Blow>>,
-    /// By the schedule there is a process.
-    wanted: bool,
-    ground: StubContext,
+    signals: Option<mpsc::UnboundedSender<ProcessSignal>>,
+    /// Whether a process should run according to the schedule.
+    should_run: bool,
+    context: StubContext,
 }
 
 impl Sender {
-    /// Lays the sender's folder out in `work`; nothing runs yet.
+    /// Creates the sender's folder in `work` and draws up its configuration, without starting a process.
     pub fn new(
         plan: &Plan,
         number: u32,
-        (program, work): (&Path, &Path),
+        (program, work_folder): (&Path, &Path),
         discovery: SocketAddr,
-        ground: &StubContext,
+        context: &StubContext,
     ) -> Result<Sender, ProcessError> {
-        let address = addresses::free().map_err(ProcessError::Address)?;
+        let address = addresses::reserve().map_err(ProcessError::Address)?;
         let drawn = &plan.senders[number as usize];
         let program_limits = &plan.spec.program;
-        let folder = work.join(&drawn.name);
+        let folder = work_folder.join(&drawn.name);
         let state = folder.join("state");
         std::fs::create_dir_all(&state).map_err(|error| ProcessError::File { path: state, error })?;
         let mut config = json!({
@@ -115,31 +118,34 @@
             config,
             ready_within: Duration::from_secs_f64(program_limits.ready_s),
             phase: Arc::new(watch::Sender::new(Phase::Down)),
-            blows: None,
-            wanted: false,
-            ground: ground.clone(),
+            signals: None,
+            should_run: false,
+            context: context.clone(),
         })
     }
 
+    /// Returns the sender's number in the plan.
     pub fn number(&self) -> u32 {
         self.number
     }
 
+    /// Returns the address that its processes listen on for clients.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
+    /// Subscribes to the state of its process.
     pub fn phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    fn note(&self, life: ProcessEvent) {
-        self.ground.fact_log.record(FactKind::Process { sender: self.number, event: life });
+    fn record(&self, event: ProcessEvent) {
+        self.context.fact_log.record(FactKind::Process { sender: self.number, event });
     }
 
     fn write_config(&self) -> Result<PathBuf, ProcessError> {
         let path = self.folder.join("config.json");
-        // To the side and renamed, as a running sender may read it at any time.
+        // A running sender may read the file at any time, so it is replaced atomically by a rename.
         let new = self.folder.join("config.json.new");
         let text = format!("{:#}\n", self.config);
         let written = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, &path));
@@ -147,14 +153,18 @@
         Ok(path)
     }
 
-    pub fn state(&self) -> PathBuf {
+    /// Returns the folder of its journal and other state.
+    pub fn state_folder(&self) -> PathBuf {
         self.folder.join("state")
     }
 
-    /// Starts a process. `other` is the folder that it finds where that is another's, `known` is the list as this sender last had it, `seed` its random numbers' (new each time).
+    /// Starts a process.
     ///
-    /// One that was told to end is waited for, as its successor gets its address and its folder; where one runs that
-    /// was not, as where two restarts cross each other, that one is left alone.
+    /// `other` is the state folder to copy for `Folder::Another`, `known` the last endpoint list of this sender, and
+    /// `seed` the seed of the process's random numbers, which is new for each process.
+    ///
+    /// Waits until a process that was told to end has ended, as the new one takes over its address and folder. Does
+    /// nothing if a process runs that was not told to end, as when two restarts overlap.
     pub async fn start(
         &mut self,
         folder: StateFolder,
@@ -162,33 +172,33 @@
         known: Value,
         seed: u64,
     ) -> Result<(), ProcessError> {
-        if self.wanted {
+        if self.should_run {
             return Ok(());
         }
-        let ended = timeout(ENDS_WITHIN, self.phase().wait_for(|p| *p == Phase::Down)).await.is_ok();
+        let ended = timeout(EXIT_TIMEOUT, self.phase().wait_for(|p| *p == Phase::Down)).await.is_ok();
         if !ended {
-            return Err(ProcessError::Lingers { sender: self.number });
+            return Err(ProcessError::NotEnded { sender: self.number });
         }
-        self.wanted = true;
+        self.should_run = true;
         self.config["known"] = known;
         self.config["seed"] = json!(format!("{seed:016x}"));
         let config = self.write_config()?;
         match folder {
             StateFolder::Keep => {}
             StateFolder::Empty => {
-                let state = self.state();
-                empty(&state).map_err(|error| ProcessError::File { path: state, error })?;
-                self.note(ProcessEvent::Emptied);
+                let state = self.state_folder();
+                clear_folder(&state).map_err(|error| ProcessError::File { path: state, error })?;
+                self.record(ProcessEvent::Emptied);
             }
-            StateFolder::Another => self.mistake(other, &config).await?,
+            StateFolder::Another => self.start_with_foreign_state(other, &config).await?,
         }
         self.spawn(&config, false)
     }
 
-    /// A process finds a copy of another's folder in place of its own, and has to refuse it. Then it is given its own
-    /// again, as operators would do.
-    async fn mistake(&mut self, other: &Path, config: &Path) -> Result<(), ProcessError> {
-        let (state, own) = (self.state(), self.folder.join("state.own"));
+    /// Starts a process on a copy of another sender's state folder, which it has to refuse, and then restores its own
+    /// folder, as operators would do.
+    async fn start_with_foreign_state(&mut self, other: &Path, config: &Path) -> Result<(), ProcessError> {
+        let (state, own) = (self.state_folder(), self.folder.join("state.own"));
         let failed = |error| ProcessError::File { path: state.clone(), error };
         std::fs::rename(&state, &own).map_err(failed)?;
         std::fs::create_dir(&state).and_then(|()| copy_files(other, &state)).map_err(failed)?;
@@ -196,25 +206,25 @@
         let refuses =
             timeout(self.ready_within, self.phase().wait_for(|p| *p != Phase::Starting)).await.is_ok();
         if refuses && *self.phase().borrow() == Phase::Down {
-            self.note(ProcessEvent::RefusedFolder);
+            self.record(ProcessEvent::RefusedFolder);
         } else {
-            self.note(ProcessEvent::TookForeignFolder);
-            self.strike(Blow::Kill);
-            self.wanted = true;
-            let _ = timeout(ENDS_WITHIN, self.phase().wait_for(|p| *p == Phase::Down)).await;
+            self.record(ProcessEvent::TookForeignFolder);
+            self.send_signal(ProcessSignal::Kill);
+            self.should_run = true;
+            let _ = timeout(EXIT_TIMEOUT, self.phase().wait_for(|p| *p == Phase::Down)).await;
         }
         std::fs::remove_dir_all(&state).and_then(|()| std::fs::rename(&own, &state)).map_err(failed)
     }
 
-    /// Starts a process; `ends` where it is expected to end by itself.
-    fn spawn(&mut self, config: &Path, ends: bool) -> Result<(), ProcessError> {
+    /// Spawns the process and the tasks that watch it; `expect_exit` if it is expected to exit by itself.
+    fn spawn(&mut self, config: &Path, expect_exit: bool) -> Result<(), ProcessError> {
         let log = self.folder.join("log");
         let mut command = Command::new(&self.program);
         command
             .env("EDGE_NAME", self.config["name"].as_str().unwrap_or_default())
             .env("EDGE_LISTEN", self.address.to_string())
             .env("EDGE_DISCOVERY", self.config["discovery"].as_str().unwrap_or_default())
-            .env("EDGE_STATE", self.state())
+            .env("EDGE_STATE", self.state_folder())
             .env("EDGE_CONFIG", config)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
@@ -230,50 +240,64 @@
         for output in [child.stdout.take().map(boxed), child.stderr.take().map(boxed)].into_iter().flatten() {
             tokio::spawn(keep_log(output, log.clone()));
         }
-        self.note(ProcessEvent::Started);
+        self.record(ProcessEvent::Started);
         self.phase.send_replace(Phase::Starting);
-        let (blows, to_do) = mpsc::unbounded_channel();
-        self.blows = Some(blows);
-        tokio::spawn(watch_over(child, to_do, self.phase.clone(), self.ground.clone(), self.number, ends));
-        let until = Instant::now() + self.ready_within;
-        tokio::spawn(until_ready(self.address, until, self.phase.clone(), self.ground.clone(), self.number));
+        let (signals, to_send) = mpsc::unbounded_channel();
+        self.signals = Some(signals);
+        tokio::spawn(supervise(
+            child,
+            to_send,
+            self.phase.clone(),
+            self.context.clone(),
+            self.number,
+            expect_exit,
+        ));
+        let deadline = Instant::now() + self.ready_within;
+        tokio::spawn(await_readiness(
+            self.address,
+            deadline,
+            self.phase.clone(),
+            self.context.clone(),
+            self.number,
+        ));
         Ok(())
     }
 
-    /// Does something to the process, if there is one.
-    pub fn strike(&mut self, blow: Blow) {
-        self.wanted &= !matches!(blow, Blow::Kill | Blow::Terminate);
-        if let Some(blows) = &self.blows {
-            // Its process may have ended.
-            let _ = blows.send(blow);
+    /// Sends a signal to the process, if there is one.
+    pub fn send_signal(&mut self, signal: ProcessSignal) {
+        self.should_run &= !matches!(signal, ProcessSignal::Kill | ProcessSignal::Terminate);
+        if let Some(signals) = &self.signals {
+            // The process may have ended meanwhile.
+            let _ = signals.send(signal);
         }
     }
 
-    /// Discovery has another address: the platform replaces the configuration and sends SIGHUP.
+    /// Changes discovery's address as the platform does: replaces the configuration and sends SIGHUP.
     pub fn move_discovery(&mut self, to: SocketAddr) -> Result<(), ProcessError> {
         self.config["discovery"] = json!(to.to_string());
         self.write_config()?;
-        // A process that is not ready yet reads the new file or keeps the old address; it is told once it is ready.
-        let (mut phase, within) = (self.phase(), self.ready_within);
-        let blows = self.blows.clone();
+        // A starting process may have read the old file already, so the signal waits until it is ready.
+        let (mut phase, ready_within) = (self.phase(), self.ready_within);
+        let signals = self.signals.clone();
         tokio::spawn(async move {
             let ready = phase.wait_for(|p| *p == Phase::Ready);
-            if let (Ok(Ok(_)), Some(blows)) = (timeout(within, ready).await, blows) {
-                let _ = blows.send(Blow::Reload);
+            if let (Ok(Ok(_)), Some(signals)) = (timeout(ready_within, ready).await, signals) {
+                let _ = signals.send(ProcessSignal::Reload);
             }
         });
         Ok(())
     }
 }
 
-fn empty(folder: &Path) -> io::Result<()> {
+/// Deletes everything in a folder.
+fn clear_folder(folder: &Path) -> io::Result<()> {
     std::fs::remove_dir_all(folder)?;
     std::fs::create_dir_all(folder)
 }
 
-/// Makes a folder hold copies of another one's files. Sockets of the other's process are none of them.
+/// Replaces a folder's contents by copies of another folder's files and folders, without sockets.
 fn copy_files(from: &Path, to: &Path) -> io::Result<()> {
-    empty(to)?;
+    clear_folder(to)?;
     for entry in std::fs::read_dir(from)? {
         let entry = entry?;
         let (kind, to) = (entry.file_type()?, to.join(entry.file_name()));
@@ -282,7 +306,7 @@
             copy_files(&entry.path(), &to)?;
         } else if kind.is_file() {
             match std::fs::copy(entry.path(), to) {
-                // The other one's process goes on meanwhile.
+                // The process that owns the source may delete files meanwhile.
                 Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
                 _ => {}
             }
@@ -295,97 +319,99 @@
     Box::new(output)
 }
 
-/// Keeps the first of what a process writes, and goes on reading the rest.
+/// Appends a process's output to its log until the log is full, and discards the rest.
 async fn keep_log(mut from: Box<dyn AsyncRead + Send + Unpin>, path: PathBuf) {
     let file = File::options().create(true).append(true).open(&path).await;
     let Ok(mut file) = file else { return };
-    let mut room = LOG_BOUND.saturating_sub(file.metadata().await.map_or(0, |m| m.len()));
+    let mut remaining = MAX_LOG_BYTES.saturating_sub(file.metadata().await.map_or(0, |m| m.len()));
     let mut buffer = vec![0; 16 << 10];
     while let Ok(read @ 1..) = from.read(&mut buffer).await {
-        let kept = room.min(read as u64) as usize;
+        let kept = remaining.min(read as u64) as usize;
         if kept > 0 && file.write_all(&buffer[..kept]).await.is_err() {
-            room = 0;
+            remaining = 0;
         }
-        room -= room.min(kept as u64);
+        remaining -= remaining.min(kept as u64);
     }
     let _ = file.flush().await;
 }
 
-/// Owns the process, so that no signal goes to a number that another process has by now.
-async fn watch_over(
+/// Waits for the process to exit and sends it signals meanwhile.
+///
+/// One task does both, so that no signal goes to a process id that has been reused.
+async fn supervise(
     mut child: Child,
-    mut blows: mpsc::UnboundedReceiver<Blow>,
+    mut signals: mpsc::UnboundedReceiver<ProcessSignal>,
     phase: Arc<watch::Sender<Phase>>,
-    ground: StubContext,
+    context: StubContext,
     sender: u32,
-    ends: bool,
+    expect_exit: bool,
 ) {
-    let note = |life| ground.fact_log.record(FactKind::Process { sender, event: life });
-    let mut asked = ends;
+    let record = |event| context.fact_log.record(FactKind::Process { sender, event });
+    let mut exit_expected = expect_exit;
     let mut paused = false;
     loop {
-        let blow = tokio::select! {
+        let requested = tokio::select! {
             biased;
             _ = child.wait() => break,
-            Some(blow) = blows.recv() => blow,
+            Some(requested) = signals.recv() => requested,
         };
-        if blow == Blow::Continue && !paused {
+        if requested == ProcessSignal::Continue && !paused {
             continue;
         }
-        let (signal, life) = match blow {
-            Blow::Kill => (Signal::KILL, Some(ProcessEvent::Killed)),
-            Blow::Terminate => (Signal::TERM, Some(ProcessEvent::Terminated)),
-            Blow::Pause => (Signal::STOP, Some(ProcessEvent::Paused)),
-            Blow::Continue => (Signal::CONT, Some(ProcessEvent::Continued)),
-            Blow::Reload => (Signal::HUP, None),
+        let (signal, event) = match requested {
+            ProcessSignal::Kill => (Signal::KILL, Some(ProcessEvent::Killed)),
+            ProcessSignal::Terminate => (Signal::TERM, Some(ProcessEvent::Terminated)),
+            ProcessSignal::Pause => (Signal::STOP, Some(ProcessEvent::Paused)),
+            ProcessSignal::Continue => (Signal::CONT, Some(ProcessEvent::Continued)),
+            ProcessSignal::Reload => (Signal::HUP, None),
         };
-        asked |= matches!(blow, Blow::Kill | Blow::Terminate);
-        if let Some(life) = life {
-            note(life);
+        exit_expected |= matches!(requested, ProcessSignal::Kill | ProcessSignal::Terminate);
+        if let Some(event) = event {
+            record(event);
         }
-        paused = blow == Blow::Pause || paused && blow != Blow::Continue;
+        paused = requested == ProcessSignal::Pause || paused && requested != ProcessSignal::Continue;
         if let Some(pid) = child.id().and_then(|id| Pid::from_raw(id as i32)) {
-            // It may be ending at this moment.
+            // The process may be exiting at this moment.
             let _ = kill_process_group(pid, signal);
-            if paused && blow == Blow::Terminate {
-                // A stopped process gets it once it goes on, which the schedule may not have it do.
+            if paused && requested == ProcessSignal::Terminate {
+                // A stopped process handles SIGTERM only after SIGCONT, which the schedule may never send.
                 let _ = kill_process_group(pid, Signal::CONT);
             }
         }
     }
-    note(ProcessEvent::Exited { expected: asked });
+    record(ProcessEvent::Exited { expected: exit_expected });
     phase.send_replace(Phase::Down);
 }
 
-/// Asks until the sender says that it is ready, as the platform does.
-async fn until_ready(
-    at: SocketAddr,
-    until: Instant,
+/// Polls the sender's readiness, as the platform does, until it is ready or the deadline has passed.
+async fn await_readiness(
+    address: SocketAddr,
+    deadline: Instant,
     phase: Arc<watch::Sender<Phase>>,
-    ground: StubContext,
+    context: StubContext,
     sender: u32,
 ) {
     loop {
         if *phase.borrow() != Phase::Starting {
             return;
         }
-        if timeout(ANSWERS_WITHIN, crate::http::is_ready(at, ground.clock)).await == Ok(true) {
+        if timeout(READINESS_TIMEOUT, crate::http::is_ready(address, context.clock)).await == Ok(true) {
             break;
         }
-        if Instant::now() >= until {
-            ground.fact_log.record(FactKind::Process { sender, event: ProcessEvent::NotReady });
+        if Instant::now() >= deadline {
+            context.fact_log.record(FactKind::Process { sender, event: ProcessEvent::NotReady });
             return;
         }
-        sleep(ASK_EVERY).await;
+        sleep(READINESS_INTERVAL).await;
     }
-    let became = phase.send_if_modified(|p| {
+    let became_ready = phase.send_if_modified(|p| {
         let starting = *p == Phase::Starting;
         if starting {
             *p = Phase::Ready;
         }
         starting
     });
-    if became {
-        ground.fact_log.record(FactKind::Process { sender, event: ProcessEvent::Ready });
+    if became_ready {
+        context.fact_log.record(FactKind::Process { sender, event: ProcessEvent::Ready });
     }
 }
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -1,25 +1,27 @@
-//! Where the sender under test is: a path, or the binary of this build.
+//! Locates the sender under test: a given path, or the binary of this build.
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
+/// File name of the sender's binary.
 pub const NAME: &str = "cairnpulley-sender";
-/// The package that the sender's binary belongs to.
+/// Package of the sender's binary.
 const PACKAGE: &str = "sender";
 
+/// Why no sender can be located.
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramError {
-    #[error("there is no sender at {0}: build it with `cargo build --release`, or name one")]
+    #[error("no sender at {0}: build it with `cargo build --release`, or give the path of one")]
     Missing(PathBuf),
-    #[error("the sender could not be built: cargo {0}")]
+    #[error("cannot build the sender: cargo {0}")]
     Build(String),
-    #[error("this program's own path is unknown: {0}")]
-    Own(#[from] std::io::Error),
+    #[error("cannot determine the path of this program: {0}")]
+    OwnPath(#[from] std::io::Error),
 }
 
-/// The sender at `named`, or that of this build.
+/// Returns the sender at `named`, or the one of this build if no path is given.
 ///
-/// Run by cargo, this program was just built, and the sender, being another package, was not: cargo builds it then.
-/// Otherwise it is the one beside this program.
+/// When this program is run by cargo, cargo has built only its own package, so the sender is built first. In any case
+/// the sender beside this program is returned.
 pub fn find(named: Option<&Path>) -> Result<PathBuf, ProgramError> {
     if let Some(path) = named {
         return existing(path.to_path_buf());
@@ -31,21 +33,21 @@
     beside(&own)
 }
 
-/// The sender that was built together with a test.
-pub fn of_test() -> Result<PathBuf, ProgramError> {
+/// Returns the sender that was built together with the running test.
+pub fn find_for_test() -> Result<PathBuf, ProgramError> {
     beside(&std::env::current_exe()?)
 }
 
 fn existing(path: PathBuf) -> Result<PathBuf, ProgramError> {
     match path.is_file() {
-        true => std::path::absolute(&path).map_err(ProgramError::Own),
+        true => std::path::absolute(&path).map_err(ProgramError::OwnPath),
         false => Err(ProgramError::Missing(path)),
     }
 }
 
 fn beside(own: &Path) -> Result<PathBuf, ProgramError> {
     let folder = own.parent().unwrap_or(Path::new("."));
-    // Tests and examples lie one folder below the programs.
+    // Cargo puts tests and examples one folder below the binaries.
     let nested = folder.ends_with("deps") || folder.ends_with("examples");
     let folder = if nested { folder.parent().unwrap_or(folder) } else { folder };
     existing(folder.join(NAME))
@@ -53,7 +55,7 @@
 
 fn build(cargo: &Path, own: &Path) -> Result<(), ProgramError> {
     let workspace = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    // A program that was moved to another machine has no sources to build from.
+    // A program that was copied to another machine has no sources to build from.
     if !workspace.join("Cargo.toml").is_file() {
         return Ok(());
     }
--- a/crates/testbed/src/relay/mod.rs
+++ b/crates/testbed/src/relay/mod.rs
@@ -1,49 +1,53 @@
-//! Links that can be hurt: a relay in user space between two processes. `shape` decides when and whether bytes pass;
-//! `tcp` and `udp` are the sockets.
+//! Fault injection on links: a user-space relay between two processes.
+//!
+//! `shape` decides whether and when bytes arrive; `tcp` and `udp` hold the sockets.
 pub mod shape;
 mod tcp;
 mod udp;
 
-pub use tcp::Tcp;
-pub use udp::Udp;
+pub use tcp::TcpRelay;
+pub use udp::UdpRelay;
 
 use crate::clock::{Ns, MS};
 use crate::spec::EventKind;
 use shape::Shape;
 
-/// A link as it is now. Both drivers follow a watch of it.
+/// The current condition of a link, which both relays receive over a watch channel.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Condition {
-    /// From whoever connects to the relay, and back to it.
-    pub to: Shape,
-    pub back: Shape,
-    /// Raised once all connections of the link are to be reset.
-    pub breaks: u32,
+pub struct LinkCondition {
+    /// The direction from the peer that connects to the relay, towards the target.
+    pub forward: Shape,
+    /// The direction from the target back to the connecting peer.
+    pub reverse: Shape,
+    /// How many times all connections of the link have been reset; an increase resets those open now.
+    pub resets: u32,
 }
 
-impl Condition {
-    /// Something begins or ends; `size` as in the experiment.
-    pub fn strike(&mut self, kind: EventKind, size: f64, begins: bool) {
-        for (way, cuts) in [(&mut self.to, EventKind::CutTo), (&mut self.back, EventKind::CutBack)] {
+impl LinkCondition {
+    /// Applies the begin or the end of a fault; the unit of `size` depends on the kind, as in the experiment.
+    pub fn apply_fault(&mut self, kind: EventKind, size: f64, begins: bool) {
+        for (shape, one_way_cut) in
+            [(&mut self.forward, EventKind::CutTo), (&mut self.reverse, EventKind::CutBack)]
+        {
             match kind {
-                EventKind::Cut => way.cut = begins,
-                k if k == cuts => way.cut = begins,
+                EventKind::Cut => shape.cut = begins,
+                k if k == one_way_cut => shape.cut = begins,
                 EventKind::Delay => {
-                    way.delay = if begins { (size * MS as f64) as Ns } else { 0 };
-                    way.jitter = way.delay / 2;
+                    shape.delay = if begins { (size * MS as f64) as Ns } else { 0 };
+                    shape.jitter = shape.delay / 2;
                 }
-                EventKind::Loss => way.loss = if begins { size } else { 0.0 },
-                EventKind::Trickle => way.bandwidth = begins.then_some(size),
+                EventKind::Loss => shape.loss = if begins { size } else { 0.0 },
+                EventKind::Trickle => shape.bandwidth = begins.then_some(size),
                 _ => {}
             }
         }
         if kind == EventKind::Break && begins {
-            self.breaks += 1;
+            self.resets += 1;
         }
     }
 
-    /// While either way is cut no connection comes up, as that takes both.
-    pub fn connects(&self) -> bool {
-        !self.to.cut && !self.back.cut
+    /// Whether a connection can be established, which takes both directions.
+    pub fn accepts_connections(&self) -> bool {
+        !self.forward.cut && !self.reverse.cut
     }
 }
--- a/crates/testbed/src/relay/shape.rs
+++ b/crates/testbed/src/relay/shape.rs
@@ -1,79 +1,82 @@
-//! When and whether what is sent over one way of a link arrives: delay, jitter, loss, doubles, disorder, bandwidth.
+//! Simulates one direction of a link: delay, jitter, loss, duplication, reordering and limited bandwidth.
 use crate::clock::{Ns, MS, SECOND};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// What a lost segment of a stream costs: the least retransmission time-out of Linux.
-pub const RETRANSMIT: Ns = 200 * MS;
-/// By how much a datagram that is put out of order is held back, beyond the jitter.
-const BEHIND: Ns = 20 * MS;
+/// Extra delay of a lost stream segment: the minimum retransmission timeout of Linux.
+pub const RETRANSMISSION_TIMEOUT: Ns = 200 * MS;
+/// Extra delay of a reordered datagram, on top of the jitter, and the longest lag of a duplicate.
+const REORDER_DELAY: Ns = 20 * MS;
 
-/// One way of a link.
+/// The properties of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Shape {
+    /// Propagation delay.
     pub delay: Ns,
-    /// Up to so much more, drawn for each.
+    /// Upper bound of a uniformly distributed extra delay, drawn for each segment or datagram.
     pub jitter: Ns,
-    /// Share that is lost: of datagrams for good, of a stream's segments until they are sent again.
+    /// Probability of loss. A lost datagram never arrives; a lost stream segment is retransmitted.
     pub loss: f64,
-    /// Shares of datagrams that come twice, and later than their followers.
+    /// Probability that a datagram arrives twice.
     pub duplicate: f64,
-    pub disorder: f64,
-    /// Bytes a second; any number if absent.
+    /// Probability that a datagram is delayed, so that later ones overtake it.
+    pub reorder: f64,
+    /// Bytes per second; unlimited if absent.
     pub bandwidth: Option<f64>,
-    /// Nothing passes. Datagrams are lost; a stream goes on where it was once it is over.
+    /// Whether the direction is cut: datagrams are lost, and a stream resumes after the cut.
     pub cut: bool,
 }
 
-/// The state of one way of one connection, or of one flow of datagrams.
-pub struct Lane {
+/// The state of one direction of a connection or of a datagram flow.
+pub struct Flow {
     random: ChaCha8Rng,
-    /// When the wire has passed what was sent so far.
-    free: Ns,
-    /// When the last part of the stream arrives.
-    last: Ns,
+    /// When everything sent so far has been transmitted at the bandwidth.
+    transmitter_free_at: Ns,
+    /// When the last segment of the stream arrives.
+    last_arrival: Ns,
 }
 
-impl Lane {
-    pub fn new(random: ChaCha8Rng) -> Lane {
-        Lane { random, free: Ns::MIN, last: Ns::MIN }
+impl Flow {
+    /// Starts an idle flow that draws jitter and losses from `random`.
+    pub fn new(random: ChaCha8Rng) -> Flow {
+        Flow { random, transmitter_free_at: Ns::MIN, last_arrival: Ns::MIN }
     }
 
-    fn chance(&mut self, share: f64) -> bool {
-        share > 0.0 && self.random.random::<f64>() < share
+    fn happens(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.random.random::<f64>() < probability
     }
 
-    /// When `bytes` sent at `now` have passed the wire, and the way to the other end.
-    fn passes(&mut self, now: Ns, bytes: usize, shape: &Shape) -> Ns {
-        self.free = self.free.max(now);
+    /// Arrival time of `bytes` sent at `now`, from transmission time, delay and jitter.
+    fn arrival_without_loss(&mut self, now: Ns, bytes: usize, shape: &Shape) -> Ns {
+        self.transmitter_free_at = self.transmitter_free_at.max(now);
         if let Some(bandwidth) = shape.bandwidth {
-            self.free += (bytes as f64 / bandwidth * SECOND as f64) as Ns;
+            self.transmitter_free_at += (bytes as f64 / bandwidth * SECOND as f64) as Ns;
         }
         let jitter = (self.random.random::<f64>() * shape.jitter as f64) as Ns;
-        self.free + shape.delay + jitter
+        self.transmitter_free_at + shape.delay + jitter
     }
 
-    /// When the next part of a stream arrives: never before an earlier one.
-    pub fn segment(&mut self, now: Ns, bytes: usize, shape: &Shape) -> Ns {
-        let mut at = self.passes(now, bytes, shape);
-        if self.chance(shape.loss) {
-            at += RETRANSMIT;
+    /// Returns when the next segment of a stream arrives, which is never before an earlier segment.
+    pub fn segment_arrival(&mut self, now: Ns, bytes: usize, shape: &Shape) -> Ns {
+        let mut at = self.arrival_without_loss(now, bytes, shape);
+        if self.happens(shape.loss) {
+            at += RETRANSMISSION_TIMEOUT;
         }
-        self.last = self.last.max(at);
-        self.last
+        self.last_arrival = self.last_arrival.max(at);
+        self.last_arrival
     }
 
-    /// When a datagram arrives: not at all, once, or twice.
-    pub fn datagram(&mut self, now: Ns, bytes: usize, shape: &Shape) -> [Option<Ns>; 2] {
-        let at = self.passes(now, bytes, shape);
-        if shape.cut || self.chance(shape.loss) {
+    /// Returns when a datagram arrives: not at all, once, or twice.
+    pub fn datagram_arrivals(&mut self, now: Ns, bytes: usize, shape: &Shape) -> [Option<Ns>; 2] {
+        let at = self.arrival_without_loss(now, bytes, shape);
+        if shape.cut || self.happens(shape.loss) {
             return [None, None];
         }
-        let behind = if self.chance(shape.disorder) { BEHIND } else { 0 };
-        let twice = self
-            .chance(shape.duplicate)
-            .then(|| at + behind + (BEHIND as f64 * self.random.random::<f64>()) as Ns);
-        [Some(at + behind), twice]
+        let reorder_delay = if self.happens(shape.reorder) { REORDER_DELAY } else { 0 };
+        let duplicate = self
+            .happens(shape.duplicate)
+            .then(|| at + reorder_delay + (REORDER_DELAY as f64 * self.random.random::<f64>()) as Ns);
+        [Some(at + reorder_delay), duplicate]
     }
 }
 
@@ -82,50 +85,53 @@
     use super::*;
     use crate::seed::Seed;
 
-    fn lane() -> Lane {
-        Lane::new(Seed(9).stream("lane", 0))
+    fn flow() -> Flow {
+        Flow::new(Seed(9).stream("lane", 0))
     }
 
     #[test]
-    fn a_stream_keeps_its_order_whatever_its_jitter_and_losses() {
+    fn stream_segments_arrive_in_order_despite_jitter_and_loss() {
         let shape = Shape { delay: 30 * MS, jitter: 50 * MS, loss: 0.2, ..Shape::default() };
-        let mut lane = lane();
-        let times: Vec<Ns> = (0..500).map(|i| lane.segment(i * MS, 100, &shape)).collect();
+        let mut flow = flow();
+        let times: Vec<Ns> = (0..500).map(|i| flow.segment_arrival(i * MS, 100, &shape)).collect();
         assert!(times.is_sorted());
         assert!(times.iter().enumerate().all(|(i, at)| *at >= i as Ns * MS + 30 * MS));
-        assert!(times[0] < 80 * MS + RETRANSMIT);
-        assert!(times[499] > 499 * MS + 80 * MS, "losses stall what follows");
+        assert!(times[0] < 80 * MS + RETRANSMISSION_TIMEOUT);
+        assert!(times[499] > 499 * MS + 80 * MS, "a lost segment delays the segments after it");
     }
 
     #[test]
-    fn bandwidth_is_shared_by_all_that_is_sent() {
+    fn bandwidth_limits_the_sum_of_all_segments() {
         let shape = Shape { bandwidth: Some(10_000.0), ..Shape::default() };
-        let mut lane = lane();
-        let last = (0..50).map(|_| lane.segment(0, 1_000, &shape)).max();
+        let mut flow = flow();
+        let last = (0..50).map(|_| flow.segment_arrival(0, 1_000, &shape)).max();
         assert_eq!(last, Some(5 * SECOND));
         assert_eq!(
-            lane.segment(60 * SECOND, 1_000, &shape),
+            flow.segment_arrival(60 * SECOND, 1_000, &shape),
             60 * SECOND + 100 * MS,
-            "idle time is not saved up"
+            "bandwidth unused while idle must not accumulate"
         );
     }
 
     #[test]
-    fn datagrams_are_lost_doubled_and_disordered_as_often_as_asked_for_and_alike_each_time() {
-        let shape = Shape { loss: 0.3, duplicate: 0.2, disorder: 0.1, delay: MS, ..Shape::default() };
+    fn datagram_faults_match_their_probabilities_and_repeat_with_the_seed() {
+        let shape = Shape { loss: 0.3, duplicate: 0.2, reorder: 0.1, delay: MS, ..Shape::default() };
         let send = || {
-            let mut lane = lane();
-            (0..4_000).map(|i| lane.datagram(i * MS, 100, &shape)).collect::<Vec<_>>()
+            let mut flow = flow();
+            (0..4_000).map(|i| flow.datagram_arrivals(i * MS, 100, &shape)).collect::<Vec<_>>()
         };
         let sent = send();
         let share =
             |is: &dyn Fn(&[Option<Ns>; 2]) -> bool| sent.iter().filter(|a| is(a)).count() as f64 / 4_000.0;
         assert!((share(&|a| a[0].is_none()) - 0.3).abs() < 0.03);
-        assert!((share(&|a| a[1].is_some()) - 0.14).abs() < 0.03, "a fifth of what is not lost");
+        assert!(
+            (share(&|a| a[1].is_some()) - 0.14).abs() < 0.03,
+            "a fifth of the datagrams that are not lost"
+        );
         let first: Vec<Ns> = sent.iter().filter_map(|a| a[0]).collect();
         assert!(!first.is_sorted());
         assert_eq!(sent, send());
         let cut = Shape { cut: true, ..shape };
-        assert_eq!(lane().datagram(0, 100, &cut), [None, None]);
+        assert_eq!(flow().datagram_arrivals(0, 100, &cut), [None, None]);
     }
 }
--- a/crates/testbed/src/relay/tcp.rs
+++ b/crates/testbed/src/relay/tcp.rs
@@ -1,7 +1,7 @@
-//! A relay for TCP: one listener, and a connection of its own to the target for each that it takes.
-use super::shape::Lane;
-use super::Condition;
-use crate::addresses::Door;
+//! TCP relay: one listener, and one connection to the target for each accepted connection.
+use super::shape::Flow;
+use super::LinkCondition;
+use crate::addresses::BlackholeListener;
 use crate::clock::{Clock, Ns};
 use crate::seed::Seed;
 use std::io;
@@ -12,59 +12,60 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 
-/// Bytes that pass at once: about a segment, so that a cut falls within a request and not only between two.
-const SEGMENT: usize = 1_460;
-/// Segments under way on one way of a connection. More are not read, as by a peer whose window is full.
-const WINDOW: usize = 64;
+/// Largest unit of bytes relayed at once: about a TCP segment, so that a cut can fall inside a request.
+const SEGMENT_BYTES: usize = 1_460;
+/// Segments in flight in one direction of a connection; no more are read until one arrives, as with a full TCP window.
+const WINDOW_SEGMENTS: usize = 64;
 
-/// A link under relay. Dropping it ends its listener; connections end with their peers.
-pub struct Tcp {
+/// A relayed TCP link. Dropping it closes the listener; open connections end when their peers close them.
+pub struct TcpRelay {
     address: SocketAddr,
-    listening: tokio::task::JoinHandle<()>,
+    accept_task: tokio::task::JoinHandle<()>,
 }
 
-impl Tcp {
-    /// Listens at an address of its own for connections to `target`.
+impl TcpRelay {
+    /// Starts to listen on a newly reserved address for connections to `target`.
     pub fn start(
         target: SocketAddr,
-        condition: watch::Receiver<Condition>,
+        condition: watch::Receiver<LinkCondition>,
         seed: (Seed, u64),
         clock: Clock,
-    ) -> io::Result<Tcp> {
-        let door = Door::open(crate::addresses::free()?)?;
-        let address = door.address();
+    ) -> io::Result<TcpRelay> {
+        let listener = BlackholeListener::open(crate::addresses::reserve()?)?;
+        let address = listener.address();
         let link = Arc::new(Link { target, condition, seed, clock });
-        Ok(Tcp { address, listening: tokio::spawn(link.listen(door)) })
+        Ok(TcpRelay { address, accept_task: tokio::spawn(link.accept_loop(listener)) })
     }
 
+    /// Returns the address that stands in for the target.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-impl Drop for Tcp {
+impl Drop for TcpRelay {
     fn drop(&mut self) {
-        self.listening.abort();
+        self.accept_task.abort();
     }
 }
 
 struct Link {
     target: SocketAddr,
-    condition: watch::Receiver<Condition>,
+    condition: watch::Receiver<LinkCondition>,
     seed: (Seed, u64),
     clock: Clock,
 }
 
 impl Link {
-    async fn listen(self: Arc<Self>, mut door: Door) {
+    async fn accept_loop(self: Arc<Self>, mut listener: BlackholeListener) {
         let mut condition = self.condition.clone();
         let mut number = 0u64;
         loop {
-            let connects = condition.borrow_and_update().connects();
-            door.set_silent(!connects);
+            let accepts = condition.borrow_and_update().accepts_connections();
+            listener.set_blackholed(!accepts);
             tokio::select! {
                 changed = condition.changed() => if changed.is_err() { return },
-                stream = door.accept(), if connects => {
+                stream = listener.accept(), if accepts => {
                     number += 1;
                     tokio::spawn(self.clone().relay(stream, number));
                 }
@@ -74,8 +75,8 @@
 
     async fn relay(self: Arc<Self>, mut near: TcpStream, number: u64) {
         let mut condition = self.condition.clone();
-        let breaks = condition.borrow_and_update().breaks;
-        // A target that is not there shows as a connection that breaks at once.
+        let resets = condition.borrow_and_update().resets;
+        // If the target does not accept, the peer's connection is reset.
         let Ok(mut far) = TcpStream::connect(self.target).await else {
             let _ = near.set_zero_linger();
             return;
@@ -84,60 +85,60 @@
             let _ = stream.set_nodelay(true);
         }
         let (seed, index) = self.seed;
-        let lane = |way| Lane::new(seed.stream(way, index << 32 | number));
-        let broken = {
-            // Halves that are borrowed don't end the connection where they are dropped.
+        let flow = |stream_name| Flow::new(seed.stream(stream_name, index << 32 | number));
+        let reset = {
+            // Borrowed halves do not shut the connection down when they are dropped.
             let (from_near, to_near) = near.split();
             let (from_far, to_far) = far.split();
-            let to = self.pass(from_near, to_far, lane("link to"), |c| &c.to);
-            let back = self.pass(from_far, to_near, lane("link back"), |c| &c.back);
-            let both = async { tokio::try_join!(to, back).map(|_| ()) };
+            let forward = self.copy(from_near, to_far, flow("link to"), |c| &c.forward);
+            let reverse = self.copy(from_far, to_near, flow("link back"), |c| &c.reverse);
+            let both = async { tokio::try_join!(forward, reverse).map(|_| ()) };
             tokio::select! {
                 done = both => done.is_err(),
-                _ = condition.wait_for(|c| c.breaks != breaks) => true,
+                _ = condition.wait_for(|c| c.resets != resets) => true,
             }
         };
-        if broken {
-            // A connection that breaks on one side breaks on the other.
+        if reset {
+            // A reset on one side is passed on to the other.
             let _ = near.set_zero_linger();
             let _ = far.set_zero_linger();
         }
     }
 
-    /// One way of a connection, until its sender ends it.
-    async fn pass(
+    /// Copies one direction of a connection until its sender closes it.
+    async fn copy(
         &self,
         mut from: ReadHalf<'_>,
         mut to: WriteHalf<'_>,
-        mut lane: Lane,
-        way: impl Fn(&Condition) -> &super::Shape,
+        mut flow: Flow,
+        direction: impl Fn(&LinkCondition) -> &super::Shape,
     ) -> io::Result<()> {
-        let (under_way, mut arriving) = mpsc::channel::<(Ns, Vec<u8>)>(WINDOW);
+        let (in_flight, mut arriving) = mpsc::channel::<(Ns, Vec<u8>)>(WINDOW_SEGMENTS);
         let reading = async {
             loop {
-                let Ok(room) = under_way.reserve().await else { return Ok(()) };
-                let mut segment = vec![0; SEGMENT];
+                let Ok(room) = in_flight.reserve().await else { return Ok(()) };
+                let mut segment = vec![0; SEGMENT_BYTES];
                 let read = from.read(&mut segment).await?;
                 if read == 0 {
                     break;
                 }
                 segment.truncate(read);
-                let shape = *way(&self.condition.borrow());
-                room.send((lane.segment(self.clock.now(), read, &shape), segment));
+                let shape = *direction(&self.condition.borrow());
+                room.send((flow.segment_arrival(self.clock.now(), read, &shape), segment));
             }
-            drop(under_way);
+            drop(in_flight);
             Ok::<(), io::Error>(())
         };
         let writing = async {
             let mut condition = self.condition.clone();
             while let Some((at, segment)) = arriving.recv().await {
                 self.clock.sleep_until(at).await;
-                // What a cut holds back is sent again once it is over.
-                let _ = condition.wait_for(|c| !way(c).cut).await;
+                // Segments held back by a cut are delivered once it ends.
+                let _ = condition.wait_for(|c| !direction(c).cut).await;
                 to.write_all(&segment).await?;
             }
-            // An end passes like bytes.
-            let _ = condition.wait_for(|c| !way(c).cut).await;
+            // The end of the stream is held back by a cut like its bytes.
+            let _ = condition.wait_for(|c| !direction(c).cut).await;
             to.shutdown().await
         };
         tokio::try_join!(reading, writing).map(|_| ())
--- a/crates/testbed/src/relay/udp.rs
+++ b/crates/testbed/src/relay/udp.rs
@@ -1,6 +1,6 @@
-//! A relay for UDP: datagrams to one address are passed on to the target, and its answers back to each sender.
-use super::shape::{Lane, Shape};
-use super::Condition;
+//! UDP relay: forwards datagrams from its own address to the target, and the target's replies to each peer.
+use super::shape::{Flow, Shape};
+use super::LinkCondition;
 use crate::clock::{Clock, Ns};
 use crate::seed::Seed;
 use std::collections::HashMap;
@@ -10,128 +10,138 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{watch, Semaphore};
 
-/// The largest datagram.
-const LARGEST: usize = 65_535;
-/// Peers that are told apart; datagrams of further ones are lost.
-const PEERS: usize = 1_024;
-/// Datagrams under way; further ones are lost, as in a full queue.
-const UNDER_WAY: usize = 16_384;
+/// Upper bound of a datagram's size.
+const MAX_DATAGRAM_BYTES: usize = 65_535;
+/// Peers that are relayed at most; datagrams from further peers are dropped.
+const MAX_PEERS: usize = 1_024;
+/// Datagrams in flight at most; further ones are dropped, as by a full queue.
+const MAX_IN_FLIGHT: usize = 16_384;
 
-/// A link under relay, until it is dropped.
-pub struct Udp {
+/// A relayed UDP link, which ends when this is dropped.
+pub struct UdpRelay {
     address: SocketAddr,
-    passing: tokio::task::JoinHandle<()>,
+    receive_task: tokio::task::JoinHandle<()>,
 }
 
-impl Udp {
-    /// Takes datagrams for `target` at an address of its own.
+impl UdpRelay {
+    /// Starts to receive datagrams for `target` on a newly bound address.
     pub async fn start(
         target: SocketAddr,
-        condition: watch::Receiver<Condition>,
+        condition: watch::Receiver<LinkCondition>,
         (seed, index): (Seed, u64),
         clock: Clock,
-    ) -> io::Result<Udp> {
-        let near = Arc::new(UdpSocket::bind(SocketAddr::new(crate::addresses::free()?.ip(), 0)).await?);
+    ) -> io::Result<UdpRelay> {
+        let near = Arc::new(UdpSocket::bind(SocketAddr::new(crate::addresses::reserve()?.ip(), 0)).await?);
         let address = near.local_addr()?;
-        let relay =
-            Relay { near, target, condition, seed, index, clock, room: Arc::new(Semaphore::new(UNDER_WAY)) };
-        Ok(Udp { address, passing: tokio::spawn(relay.run()) })
+        let relay = Relay {
+            near,
+            target,
+            condition,
+            seed,
+            index,
+            clock,
+            in_flight: Arc::new(Semaphore::new(MAX_IN_FLIGHT)),
+        };
+        Ok(UdpRelay { address, receive_task: tokio::spawn(relay.run()) })
     }
 
+    /// Returns the address that stands in for the target.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-impl Drop for Udp {
+impl Drop for UdpRelay {
     fn drop(&mut self) {
-        self.passing.abort();
+        self.receive_task.abort();
     }
 }
 
 struct Relay {
     near: Arc<UdpSocket>,
     target: SocketAddr,
-    condition: watch::Receiver<Condition>,
+    condition: watch::Receiver<LinkCondition>,
     seed: Seed,
     index: u64,
     clock: Clock,
-    room: Arc<Semaphore>,
+    in_flight: Arc<Semaphore>,
 }
 
-/// What a peer's datagrams leave by, and the way back, which ends with it.
+/// The socket that stands for a peer towards the target, and the task that relays replies, which ends with it.
 struct Peer {
     far: Arc<UdpSocket>,
-    lane: Lane,
-    back: tokio::task::JoinHandle<()>,
+    forward_flow: Flow,
+    reply_task: tokio::task::JoinHandle<()>,
 }
 
 impl Drop for Peer {
     fn drop(&mut self) {
-        self.back.abort();
+        self.reply_task.abort();
     }
 }
 
 impl Relay {
     async fn run(self) {
         let mut peers: HashMap<SocketAddr, Peer> = HashMap::new();
-        let mut buffer = vec![0; LARGEST];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error tells of an earlier datagram that found nobody.
+            // The error belongs to an earlier datagram that was refused (ICMP port unreachable).
             let Ok((read, from)) = self.near.recv_from(&mut buffer).await else { continue };
             if !peers.contains_key(&from) {
-                if peers.len() >= PEERS {
+                if peers.len() >= MAX_PEERS {
                     continue;
                 }
-                let Ok(peer) = self.peer(from, peers.len() as u64).await else { continue };
+                let Ok(peer) = self.open_peer(from, peers.len() as u64).await else { continue };
                 peers.insert(from, peer);
             }
             let Some(peer) = peers.get_mut(&from) else { continue };
-            let shape = self.condition.borrow().to;
-            let times = peer.lane.datagram(self.clock.now(), read, &shape);
+            let shape = self.condition.borrow().forward;
+            let times = peer.forward_flow.datagram_arrivals(self.clock.now(), read, &shape);
             self.send(&peer.far, self.target, &buffer[..read], times);
         }
     }
 
-    async fn peer(&self, at: SocketAddr, number: u64) -> io::Result<Peer> {
+    /// Binds the socket for a new peer and starts its reply task.
+    async fn open_peer(&self, at: SocketAddr, number: u64) -> io::Result<Peer> {
         let far = Arc::new(UdpSocket::bind(SocketAddr::new(self.near.local_addr()?.ip(), 0)).await?);
-        let stream = |way| Lane::new(self.seed.stream(way, self.index << 32 | number));
-        let mut lane = stream("datagrams back");
+        let flow = |stream_name| Flow::new(self.seed.stream(stream_name, self.index << 32 | number));
+        let mut reply_flow = flow("datagrams back");
         let (near, source, clock) = (self.near.clone(), far.clone(), self.clock);
-        let (condition, room) = (self.condition.clone(), self.room.clone());
-        let back = tokio::spawn(async move {
-            let mut buffer = vec![0; LARGEST];
+        let (condition, in_flight) = (self.condition.clone(), self.in_flight.clone());
+        let reply_task = tokio::spawn(async move {
+            let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
             loop {
                 let Ok((read, _)) = source.recv_from(&mut buffer).await else { continue };
-                let shape: Shape = condition.borrow().back;
-                let times = lane.datagram(clock.now(), read, &shape);
-                send(&near, at, &buffer[..read], times, clock, &room);
+                let shape: Shape = condition.borrow().reverse;
+                let times = reply_flow.datagram_arrivals(clock.now(), read, &shape);
+                send(&near, at, &buffer[..read], times, clock, &in_flight);
             }
         });
-        Ok(Peer { far, lane: stream("datagrams to"), back })
+        Ok(Peer { far, forward_flow: flow("datagrams to"), reply_task })
     }
 
-    fn send(&self, by: &Arc<UdpSocket>, to: SocketAddr, bytes: &[u8], times: [Option<Ns>; 2]) {
-        send(by, to, bytes, times, self.clock, &self.room);
+    fn send(&self, socket: &Arc<UdpSocket>, to: SocketAddr, bytes: &[u8], times: [Option<Ns>; 2]) {
+        send(socket, to, bytes, times, self.clock, &self.in_flight);
     }
 }
 
+/// Sends a datagram at each of its arrival times.
 fn send(
-    by: &Arc<UdpSocket>,
+    socket: &Arc<UdpSocket>,
     to: SocketAddr,
     bytes: &[u8],
     times: [Option<Ns>; 2],
     clock: Clock,
-    room: &Arc<Semaphore>,
+    in_flight: &Arc<Semaphore>,
 ) {
     for at in times.into_iter().flatten() {
-        let Ok(place) = room.clone().try_acquire_owned() else { return };
-        let (by, bytes) = (by.clone(), bytes.to_vec());
+        let Ok(permit) = in_flight.clone().try_acquire_owned() else { return };
+        let (socket, bytes) = (socket.clone(), bytes.to_vec());
         tokio::spawn(async move {
             clock.sleep_until(at).await;
-            // A peer that is gone loses it, as on a network.
-            let _ = by.send_to(&bytes, to).await;
-            drop(place);
+            // A datagram to a peer that no longer listens is lost, as on a network.
+            let _ = socket.send_to(&bytes, to).await;
+            drop(permit);
         });
     }
 }
--- a/crates/testbed/src/scale/list_service.rs
+++ b/crates/testbed/src/scale/list_service.rs
@@ -74,7 +74,7 @@
         });
         let mut addresses = Vec::new();
         for region in 0..REGIONS {
-            let listener = listen(addresses::free()?)?;
+            let listener = listen(addresses::reserve()?)?;
             addresses.push(listener.local_addr()?);
             tokio::spawn(shared.clone().accept(region, listener));
         }
--- a/crates/testbed/src/scale/load.rs
+++ b/crates/testbed/src/scale/load.rs
@@ -65,14 +65,14 @@
         let seen = Arc::new(Seen::default());
         let mut live = Vec::new();
         for _ in 0..SOCKETS {
-            let at = addresses::free()?;
+            let at = addresses::reserve()?;
             tokio::spawn(accept(addresses::listen(at)?, work, seen.clone()));
             live.push(at);
         }
         let down = match down {
             Down::Refuses => REFUSES,
             Down::Silent => {
-                let at = addresses::free()?;
+                let at = addresses::reserve()?;
                 tokio::spawn(stay_silent(addresses::listen(at)?));
                 at
             }
--- a/crates/testbed/src/scale/real_sender.rs
+++ b/crates/testbed/src/scale/real_sender.rs
@@ -80,7 +80,7 @@
     ) -> io::Result<RealSender> {
         let (state, config) = (folder.join("state"), folder.join("config.json"));
         std::fs::create_dir_all(&state)?;
-        let at = addresses::free()?;
+        let at = addresses::reserve()?;
         let text = json!({
             "name": format!("n{number}"), "listen": at.to_string(), "discovery": discovery.to_string(),
             "seed": format!("{number:016x}"),
--- a/crates/testbed/src/sim/network.rs
+++ b/crates/testbed/src/sim/network.rs
@@ -2,8 +2,8 @@
 use crate::clock::{Ns, MS};
 use crate::facts::MessageId;
 use crate::platform::destination::CallNumber;
-use crate::relay::shape::{Lane, Shape};
-use crate::relay::Condition;
+use crate::relay::shape::{Flow, Shape};
+use crate::relay::LinkCondition;
 use sender::api::MsgId;
 use std::collections::HashMap;
 
@@ -82,15 +82,15 @@
 
 /// Returns the delay of a message in one direction of a link, in addition to `ONE_WAY_DELAY`, or `None` if
 /// that direction is cut.
-pub fn link_delay(shape: &Shape, lane: &mut Lane, now: Ns) -> Option<Ns> {
+pub fn link_delay(shape: &Shape, flow: &mut Flow, now: Ns) -> Option<Ns> {
     // Size of a request with its headers, which goes out in one segment.
     const MESSAGE_BYTES: usize = 1_000;
-    (!shape.cut).then(|| lane.segment(now, MESSAGE_BYTES, shape) - now)
+    (!shape.cut).then(|| flow.segment_arrival(now, MESSAGE_BYTES, shape) - now)
 }
 
 /// Returns true if a connection can be established over a link. `None` stands for a link without faults.
-pub fn connects(condition: Option<&Condition>) -> bool {
-    condition.is_none_or(Condition::connects)
+pub fn connects(condition: Option<&LinkCondition>) -> bool {
+    condition.is_none_or(LinkCondition::accepts_connections)
 }
 
 /// Calls in flight.
--- a/crates/testbed/src/sim/world/calls.rs
+++ b/crates/testbed/src/sim/world/calls.rs
@@ -82,7 +82,7 @@
             delay += 2 * ONE_WAY_DELAY;
         }
         let link_delay = match self.links.get_mut(&(Link::Endpoints, sender)) {
-            Some(link) => network::link_delay(&link.condition.to, &mut link.to, now),
+            Some(link) => network::link_delay(&link.condition.forward, &mut link.to, now),
             None => Some(0),
         };
         self.calls.insert(number, call);
@@ -178,7 +178,7 @@
         let over_connection_limit = matches!(reply, Reply::Refused { why: Refusal::Connections, .. });
         let keeps = !over_connection_limit && !matches!(answer, Answer::Reset | Answer::Malformed);
         let link_delay = match self.links.get_mut(&(Link::Endpoints, sender)) {
-            Some(link) => network::link_delay(&link.condition.back, &mut link.back, self.now),
+            Some(link) => network::link_delay(&link.condition.reverse, &mut link.back, self.now),
             None => Some(0),
         };
         // Over a cut link the answer never arrives, and the call ends by its time limit.
--- a/crates/testbed/src/sim/world/clients.rs
+++ b/crates/testbed/src/sim/world/clients.rs
@@ -33,8 +33,8 @@
         let (sender, wire_id) = (pending.client.sender, pending.random.next_u64());
         self.record(FactKind::HandedIn { message: wire_id, request, sender, due });
         let to = match self.links.get_mut(&(Link::Clients, sender)) {
-            Some(link) if !link.condition.connects() => None,
-            Some(link) => network::link_delay(&link.condition.to, &mut link.to, self.now),
+            Some(link) if !link.condition.accepts_connections() => None,
+            Some(link) => network::link_delay(&link.condition.forward, &mut link.to, self.now),
             None => Some(0),
         };
         match to {
@@ -61,7 +61,7 @@
         handed_in_at: Ns,
     ) {
         let back = match self.links.get_mut(&(Link::Clients, sender)) {
-            Some(link) => network::link_delay(&link.condition.back, &mut link.back, self.now),
+            Some(link) => network::link_delay(&link.condition.reverse, &mut link.back, self.now),
             None => Some(0),
         };
         let process = self.senders[sender as usize].process;
@@ -135,8 +135,10 @@
         notice: Notice,
         retry_in: Option<Ns>,
     ) {
-        let connects =
-            self.links.get(&(Link::Discovery, sender)).is_none_or(|link| link.condition.connects());
+        let connects = self
+            .links
+            .get(&(Link::Discovery, sender))
+            .is_none_or(|link| link.condition.accepts_connections());
         if !connects {
             return self.after(
                 NOTICE_RETRY_DELAY,
--- a/crates/testbed/src/sim/world/lists.rs
+++ b/crates/testbed/src/sim/world/lists.rs
@@ -27,8 +27,10 @@
         let generation = self.list.generation();
         for sender in 0..self.senders.len() as u32 {
             let behind = self.sent_generations[sender as usize] < generation;
-            let reachable =
-                self.links.get(&(Link::Discovery, sender)).is_none_or(|link| link.condition.connects());
+            let reachable = self
+                .links
+                .get(&(Link::Discovery, sender))
+                .is_none_or(|link| link.condition.accepts_connections());
             let up = self.senders[sender as usize].process != Process::Down;
             if !(behind && reachable && up) {
                 continue;
--- a/crates/testbed/src/sim/world/mod.rs
+++ b/crates/testbed/src/sim/world/mod.rs
@@ -15,8 +15,8 @@
 use crate::plan::Plan;
 use crate::platform::destination::{CallNumber, Destination};
 use crate::platform::list::{EndpointList, Lifecycle};
-use crate::relay::shape::Lane;
-use crate::relay::Condition;
+use crate::relay::shape::Flow;
+use crate::relay::LinkCondition;
 use crate::spec::{EventKind, Link, StateFolder};
 use rand_chacha::ChaCha8Rng;
 use sender::api::{Event, MsgId, Outcome};
@@ -85,9 +85,9 @@
 
 /// A link of a sender that the schedule disturbs, with one lane for each direction.
 struct LinkState {
-    condition: Condition,
-    to: Lane,
-    back: Lane,
+    condition: LinkCondition,
+    to: Flow,
+    back: Flow,
 }
 
 /// The state of a play in simulated time.
@@ -136,9 +136,12 @@
         let mut links = BTreeMap::new();
         for link in [Link::Endpoints, Link::Discovery, Link::Clients] {
             for sender in (0..senders.len() as u32).filter(|s| plan.has_link_events(link, *s)) {
-                let lane = |name| Lane::new(plan.seed.stream(name, (link as u64) << 32 | u64::from(sender)));
-                let state =
-                    LinkState { condition: Condition::default(), to: lane("sim to"), back: lane("sim back") };
+                let flow = |name| Flow::new(plan.seed.stream(name, (link as u64) << 32 | u64::from(sender)));
+                let state = LinkState {
+                    condition: LinkCondition::default(),
+                    to: flow("sim to"),
+                    back: flow("sim back"),
+                };
                 links.insert((link, sender), state);
             }
         }
--- a/crates/testbed/src/sim/world/schedule.rs
+++ b/crates/testbed/src/sim/world/schedule.rs
@@ -64,7 +64,7 @@
             StepAction::Link { sender, link, kind, size, begins } => {
                 self.record(FactKind::LinkFault { sender, link, kind, begins });
                 if let Some(link) = self.links.get_mut(&(link, sender)) {
-                    link.condition.strike(kind, size, begins);
+                    link.condition.apply_fault(kind, size, begins);
                 }
                 if kind == EventKind::Break && link == Link::Endpoints {
                     self.break_sender_connections(sender);
--- a/crates/testbed/tests/play.rs
+++ b/crates/testbed/tests/play.rs
@@ -23,7 +23,7 @@
 }
 
 fn sender_program() -> std::path::PathBuf {
-    program::of_test().expect("the whole workspace is built: cargo test --workspace")
+    program::find_for_test().expect("the whole workspace is built: cargo test --workspace")
 }
 
 fn violated_rules(played: &Played) -> BTreeSet<Rule> {
--- a/crates/testbed/tests/relay.rs
+++ b/crates/testbed/tests/relay.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 use testbed::clock::{Clock, MS};
 use testbed::relay::shape::Shape;
-use testbed::relay::{Condition, Tcp, Udp};
+use testbed::relay::{LinkCondition, TcpRelay, UdpRelay};
 use testbed::seed::Seed;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
@@ -15,16 +15,16 @@
 
 struct Stand {
     target: TcpListener,
-    relay: Tcp,
-    condition: watch::Sender<Condition>,
+    relay: TcpRelay,
+    condition: watch::Sender<LinkCondition>,
 }
 
 async fn stand() -> Stand {
     let target = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let condition = watch::Sender::new(Condition::default());
+    let condition = watch::Sender::new(LinkCondition::default());
     let clock = Clock::new(Instant::now());
     let at = target.local_addr().unwrap();
-    let relay = Tcp::start(at, condition.subscribe(), (Seed(1), 0), clock).unwrap();
+    let relay = TcpRelay::start(at, condition.subscribe(), (Seed(1), 0), clock).unwrap();
     Stand { target, relay, condition }
 }
 
@@ -35,7 +35,7 @@
         (near, far)
     }
 
-    fn set(&self, change: impl FnOnce(&mut Condition)) {
+    fn set(&self, change: impl FnOnce(&mut LinkCondition)) {
         self.condition.send_modify(change);
     }
 }
@@ -55,12 +55,12 @@
 async fn a_way_that_is_cut_holds_what_is_sent_and_the_other_way_passes() {
     let stand = stand().await;
     let (mut near, mut far) = stand.pair().await;
-    stand.set(|c| c.back.cut = true);
+    stand.set(|c| c.reverse.cut = true);
     near.write_all(b"ask").await.unwrap();
     assert_eq!(comes(&mut far, 3).await, b"ask");
     far.write_all(b"answer").await.unwrap();
     nothing_comes(&mut near).await;
-    stand.set(|c| c.back.cut = false);
+    stand.set(|c| c.reverse.cut = false);
     assert_eq!(comes(&mut near, 6).await, b"answer");
 }
 
@@ -69,7 +69,7 @@
     let stand = stand().await;
     let (mut near, mut far) = stand.pair().await;
     // Slow enough for the cut to fall within it.
-    stand.set(|c| c.to.bandwidth = Some(100_000.0));
+    stand.set(|c| c.forward.bandwidth = Some(100_000.0));
     let body: Vec<u8> = (0..60_000u32).map(|i| i as u8).collect();
     let (sent, body) = (body.clone(), body);
     let writing = tokio::spawn(async move {
@@ -77,14 +77,14 @@
         near
     });
     let mut got = comes(&mut far, 3_000).await;
-    stand.set(|c| c.to.cut = true);
+    stand.set(|c| c.forward.cut = true);
     // What has passed the cut by now still comes.
     let mut more = [0; 2_000];
     while let Ok(Ok(read)) = timeout(LOOK, far.read(&mut more)).await {
         got.extend_from_slice(&more[..read]);
     }
     assert!(got.len() < body.len(), "all of it has passed");
-    stand.set(|c| c.to.cut = false);
+    stand.set(|c| c.forward.cut = false);
     let rest = body.len() - got.len();
     got.extend(comes(&mut far, rest).await);
     assert!(got == body, "bytes are changed or missing");
@@ -94,13 +94,13 @@
 #[tokio::test]
 async fn no_connection_comes_up_over_a_cut_and_the_next_one_does_once_it_is_over() {
     let stand = stand().await;
-    stand.set(|c| c.to.cut = true);
+    stand.set(|c| c.forward.cut = true);
     // The relay takes the news up some time soon.
     let until = Instant::now() + BOUND;
     while timeout(LOOK, TcpStream::connect(stand.relay.address())).await.is_ok() {
         assert!(Instant::now() < until, "connections come up all the while");
     }
-    stand.set(|c| c.to.cut = false);
+    stand.set(|c| c.forward.cut = false);
     let mut near =
         timeout(BOUND, TcpStream::connect(stand.relay.address())).await.expect("it comes up").unwrap();
     near.write_all(b"x").await.unwrap();
@@ -118,7 +118,7 @@
 async fn a_break_resets_both_ends() {
     let stand = stand().await;
     let (mut near, mut far) = stand.pair().await;
-    stand.set(|c| c.breaks += 1);
+    stand.set(|c| c.resets += 1);
     for end in [&mut near, &mut far] {
         let read = timeout(BOUND, end.read(&mut [0])).await.expect("it ends");
         assert_eq!(read.unwrap_err().kind(), std::io::ErrorKind::ConnectionReset);
@@ -132,7 +132,7 @@
 async fn delay_and_bandwidth_take_their_time() {
     let stand = stand().await;
     let (mut near, mut far) = stand.pair().await;
-    stand.set(|c| c.to = Shape { delay: 80 * MS, bandwidth: Some(50_000.0), ..Shape::default() });
+    stand.set(|c| c.forward = Shape { delay: 80 * MS, bandwidth: Some(50_000.0), ..Shape::default() });
     let begun = Instant::now();
     near.write_all(&[7; 10_000]).await.unwrap();
     comes(&mut far, 10_000).await;
@@ -159,10 +159,10 @@
 #[tokio::test]
 async fn datagrams_pass_both_ways_and_are_lost_by_their_share() {
     let target = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let condition = watch::Sender::new(Condition::default());
+    let condition = watch::Sender::new(LinkCondition::default());
     let clock = Clock::new(Instant::now());
     let at = target.local_addr().unwrap();
-    let relay = Udp::start(at, condition.subscribe(), (Seed(4), 0), clock).await.unwrap();
+    let relay = UdpRelay::start(at, condition.subscribe(), (Seed(4), 0), clock).await.unwrap();
     let near = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     near.send_to(b"ping", relay.address()).await.unwrap();
     let mut buffer = [0; 16];
@@ -171,7 +171,7 @@
     target.send_to(b"pong", from).await.unwrap();
     let (read, from) = timeout(BOUND, near.recv_from(&mut buffer)).await.expect("it comes back").unwrap();
     assert_eq!((&buffer[..read], from), (&b"pong"[..], relay.address()));
-    condition.send_modify(|c| c.to.loss = 0.5);
+    condition.send_modify(|c| c.forward.loss = 0.5);
     for number in 0..100u8 {
         near.send_to(&[number], relay.address()).await.unwrap();
     }
--- a/crates/testbed/tests/whole_lists.rs
+++ b/crates/testbed/tests/whole_lists.rs
@@ -36,7 +36,7 @@
     let endpoints = Endpoints::start(Duration::ZERO, Down::Refuses).unwrap();
     let deployment = Deployment::new(SEED, Size::single(DESTINATIONS), endpoints.addresses());
     let service = ListService::start(deployment).unwrap();
-    let program = program::of_test().expect("the whole workspace is built: cargo test --workspace");
+    let program = program::find_for_test().expect("the whole workspace is built: cargo test --workspace");
     let at = service.address(0);
     let mut sender = RealSender::start(&program, folder.path(), at, 0, &Shape::default()).unwrap();
     assert!(sender.ready(BOUND).await.is_some(), "{}", sender.log());
