--- a/crates/cairnpulley/src/state.rs
+++ b/crates/cairnpulley/src/state.rs
@@ -2,7 +2,7 @@
 use crate::output::Exit;
 use clap::{Subcommand, ValueEnum};
 use comfy_table::{presets, Table};
-use sender::records::folder::{self, FolderError, Form, Shown, State};
+use sender::records::folder::{self, FolderError, FolderState, JournalFormat, MessageView};
 use sender::records::journal_file;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -80,19 +80,21 @@
     }
 }
 
-fn facts(state: &State, owned: bool) -> serde_json::Value {
+fn facts(state: &FolderState, owned: bool) -> serde_json::Value {
     json!({
-        "schema": 1, "form": state.form, "owner": state.owner, "owned_now": owned, "segments": state.segments,
-        "bytes": state.bytes, "records": state.records, "messages": state.book.owed().len(),
+        "schema": 1, "form": state.format, "owner": state.owner, "owned_now": owned, "segments": state.segments,
+        "bytes": state.bytes, "records": state.records, "messages": state.pending.messages().len(),
         "faults": state.faults,
     })
 }
 
-fn print_head(dir: &Path, state: &State, owned: bool) {
-    let form = match state.form {
-        Form::Empty => "empty",
-        Form::JournalFile => "journal file (the next start takes it over into a log, which is no way back)",
-        Form::Log => "log",
+fn print_head(dir: &Path, state: &FolderState, owned: bool) {
+    let form = match state.format {
+        JournalFormat::Empty => "empty",
+        JournalFormat::JournalFile => {
+            "journal file (the next start takes it over into a log, which is no way back)"
+        }
+        JournalFormat::Log => "log",
     };
     println!("{}: {form}", dir.display());
     println!("  sender    {}", state.owner.as_deref().unwrap_or("(not said)"));
@@ -100,15 +102,15 @@
         println!("  a sender owns it: what it writes at this moment may look torn");
     }
     println!("  records   {} in {} segments, {} bytes", state.records, state.segments, state.bytes);
-    println!("  messages  {}", state.book.owed().len());
+    println!("  messages  {}", state.pending.messages().len());
     for fault in &state.faults {
-        println!("  {} {}", if fault.expected { "torn tail:" } else { "DAMAGED:" }, fault.what);
+        println!("  {} {}", if fault.expected { "torn tail:" } else { "DAMAGED:" }, fault.description);
     }
 }
 
 fn show(dir: &Path, messages: bool, json: bool) -> Result<Exit, StateError> {
     let (state, owned) = (folder::read(dir)?, folder::is_owned(dir)?);
-    let shown: Vec<Shown> = state.book.owed().values().map(Shown::from).collect();
+    let shown: Vec<MessageView> = state.pending.messages().values().map(MessageView::from).collect();
     if json {
         let mut facts = facts(&state, owned);
         if messages {
@@ -164,7 +166,7 @@
     Ok(if sound { Exit::Kept } else { Exit::Broken })
 }
 
-fn read_unowned(dir: &Path) -> Result<State, StateError> {
+fn read_unowned(dir: &Path) -> Result<FolderState, StateError> {
     if folder::is_owned(dir)? {
         return Err(StateError::Owned { dir: dir.to_path_buf() });
     }
@@ -174,10 +176,10 @@
 fn export(dir: &Path, to: &Path, form: Export) -> Result<Exit, StateError> {
     let state = read_unowned(dir)?;
     let bytes = match form {
-        Export::JournalFile => journal_file::write(state.book.owed().values()),
+        Export::JournalFile => journal_file::write(state.pending.messages().values()),
         Export::JsonLines => {
-            let line = |o| format!("{}\n", json!(Shown::from(o)));
-            state.book.owed().values().map(line).collect::<String>().into_bytes()
+            let line = |o| format!("{}\n", json!(MessageView::from(o)));
+            state.pending.messages().values().map(line).collect::<String>().into_bytes()
         }
     };
     let written = File::create_new(to).and_then(|mut file| {
@@ -185,23 +187,23 @@
         file.sync_all()
     });
     written.map_err(|error| StateError::Io { path: to.to_path_buf(), error })?;
-    println!("{}: {} messages", to.display(), state.book.owed().len());
+    println!("{}: {} messages", to.display(), state.pending.messages().len());
     Ok(told(&state))
 }
 
 fn repair(dir: &Path, to: &Path, owner: Option<&str>) -> Result<Exit, StateError> {
     let state = read_unowned(dir)?;
     let owner = owner.or(state.owner.as_deref()).ok_or(StateError::NoOwner { dir: dir.to_path_buf() })?;
-    folder::write(dir, &state.book, owner, to)?;
-    println!("{}: {} messages of {owner}", to.display(), state.book.owed().len());
+    folder::write(dir, &state.pending, owner, to)?;
+    println!("{}: {} messages of {owner}", to.display(), state.pending.messages().len());
     Ok(told(&state))
 }
 
 /// What could not be read is told wherever something was made of the rest.
-fn told(state: &State) -> Exit {
+fn told(state: &FolderState) -> Exit {
     let mut exit = Exit::Kept;
     for fault in state.faults.iter().filter(|f| !f.expected) {
-        println!("left out: {}", fault.what);
+        println!("left out: {}", fault.description);
         exit = Exit::Broken;
     }
     exit
--- a/crates/testbed/examples/readiness.rs
+++ b/crates/testbed/examples/readiness.rs
@@ -3,8 +3,8 @@
 //!     cargo run --release -p testbed --example readiness -- target/release/cairnpulley-sender [journal-file]
 //!
 //! With `journal-file` folders are in the form before the log, for senders of that time or to see the taking over.
-use sender::records::book::Book;
-use sender::records::{folder, journal_file, wall_ms, Owed, Taken};
+use sender::records::pending::PendingMessages;
+use sender::records::{folder, journal_file, unix_time_ms, AcceptedMessage, PendingMessage};
 use serde_json::json;
 use std::error::Error;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -18,20 +18,20 @@
 const BODY: usize = 300;
 const GIVE_UP: Duration = Duration::from_secs(30);
 
-fn book(messages: u64) -> Book {
-    let mut book = Book::default();
+fn book(messages: u64) -> PendingMessages {
+    let mut book = PendingMessages::default();
     for id in 0..messages {
-        let taken = Taken {
+        let taken = AcceptedMessage {
             id,
             class: "order".into(),
             tenant: "acme".into(),
             dest: 9,
-            trace: format!("{id:016x}"),
-            key: None,
-            end: wall_ms() + 600_000,
+            trace_id: format!("{id:016x}"),
+            idempotency_key: None,
+            deadline_ms: unix_time_ms() + 600_000,
             body: vec![7; BODY].into(),
         };
-        book.enter(Owed { taken: Rc::new(taken), attempts: Vec::new(), ending: None });
+        book.insert(PendingMessage { accepted: Rc::new(taken), attempts: Vec::new(), undelivered: None });
     }
     book
 }
@@ -107,7 +107,7 @@
     let book = book(messages);
     if file {
         std::fs::create_dir(&state)?;
-        std::fs::write(state.join("journal"), journal_file::write(book.owed().values()))?;
+        std::fs::write(state.join("journal"), journal_file::write(book.messages().values()))?;
     } else {
         folder::write(work.path(), &book, "n0", &state)?;
     }
--- a/src/bin/sender/client.rs
+++ b/src/bin/sender/client.rs
@@ -5,7 +5,7 @@
 use crate::connection::{request, Connection, Fault, TAIL};
 use crate::directory::{Directory, Place, Route};
 use crate::input::Input;
-use crate::process_state::{Cancel, Keeps};
+use crate::process_state::{CancellationToken, IdleBounds};
 use base64::Engine;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -15,7 +15,7 @@
 use outcome::{load_report, outcome, read_ends, wait_told, Answer};
 use pool::Pool;
 use sender::api::{AttemptEnd, EndpointId, LimitReport, Ns, Outcome, MS};
-use sender::records::Taken;
+use sender::records::AcceptedMessage;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -35,7 +35,7 @@
 /// A message's part in a call.
 pub struct Member {
     pub attempt: u32,
-    pub taken: Rc<Taken>,
+    pub taken: Rc<AcceptedMessage>,
     /// When its time is up.
     pub end: Instant,
     /// When this attempt is given up; not after `end`.
@@ -101,12 +101,12 @@
 
     /// What the next process needs to know of connections. Nothing more is begun from now on: what is being connected
     /// ends as not sent, idle connections are closed, and calls out go on.
-    pub fn freeze(&self) -> Keeps {
+    pub fn freeze(&self) -> IdleBounds {
         self.frozen.set(true);
         self.pool.freeze()
     }
 
-    pub fn thaw(&self, keeps: Keeps) {
+    pub fn thaw(&self, keeps: IdleBounds) {
         self.pool.thaw(keeps);
     }
 
@@ -176,7 +176,12 @@
     }
 
     /// Carries out one call of the module and tells how each of its messages ended.
-    pub async fn call(self: Rc<Self>, endpoint: EndpointId, members: Vec<Member>, cancel: Rc<Cancel>) {
+    pub async fn call(
+        self: Rc<Self>,
+        endpoint: EndpointId,
+        members: Vec<Member>,
+        cancel: Rc<CancellationToken>,
+    ) {
         let started = Instant::now();
         // What the module puts into one call may be too much for one body; the parts go one by one.
         for part in parts(members) {
@@ -188,7 +193,7 @@
         &self,
         endpoint: EndpointId,
         mut members: Vec<Member>,
-        cancel: &Cancel,
+        cancel: &CancellationToken,
         started: Instant,
     ) {
         let tell = |outcome| move |m: &Member| end(m, endpoint, outcome, started);
@@ -199,7 +204,7 @@
         let (link, answer) = loop {
             let found = tokio::select! {
                 biased;
-                () = cancel.wait() => Err(Outcome::NotSent),
+                () = cancel.cancelled() => Err(Outcome::NotSent),
                 link = self.connect(endpoint) => link,
                 () = sleep_until(close_at) => Err(Outcome::NoConnection),
             };
@@ -226,7 +231,7 @@
                     tokio::select! {
                         biased;
                         answer = &mut answer => break Ok(answer),
-                        () = cancel.wait() => break Err((std::mem::take(&mut members), Outcome::CalledOff)),
+                        () = cancel.cancelled() => break Err((std::mem::take(&mut members), Outcome::CalledOff)),
                         () = sleep_until(next) => {}
                     }
                     let now = Instant::now();
@@ -323,7 +328,7 @@
 
     async fn report(&self, ends: Vec<AttemptEnd>) {
         if !ends.is_empty() {
-            let _ = self.core.send(Input::Ended(ends)).await;
+            let _ = self.core.send(Input::AttemptsEnded(ends)).await;
         }
     }
 
@@ -349,7 +354,7 @@
     }
 
     async fn probed(&self, endpoint: EndpointId, outcome: Outcome, report: Option<LimitReport>) {
-        let _ = self.core.send(Input::Probed { endpoint, outcome, report }).await;
+        let _ = self.core.send(Input::ProbeEnded { endpoint, outcome, report }).await;
     }
 }
 
@@ -358,7 +363,7 @@
     let mut size = 0;
     for member in members {
         let t = &member.taken;
-        let texts = t.trace.len() + t.key.as_ref().map_or(0, String::len);
+        let texts = t.trace_id.len() + t.idempotency_key.as_ref().map_or(0, String::len);
         let own = t.body.len().div_ceil(3) * 4 + 2 * texts + 40;
         match parts.last_mut().filter(|_| size + own < MAX_BODY) {
             Some(part) => part.push(member),
@@ -380,9 +385,9 @@
             .iter()
             .map(|m| {
                 let body = base64::engine::general_purpose::STANDARD.encode(&m.taken.body);
-                match &m.taken.key {
-                    Some(key) => json!({"id": m.taken.trace, "key": key, "body": body}),
-                    None => json!({"id": m.taken.trace, "body": body}),
+                match &m.taken.idempotency_key {
+                    Some(key) => json!({"id": m.taken.trace_id, "key": key, "body": body}),
+                    None => json!({"id": m.taken.trace_id, "body": body}),
                 }
             })
             .collect();
@@ -390,8 +395,8 @@
         return request("POST", "/v1/messages:batch", to, &headers, Value::from(list).to_string().into());
     };
     let taken = &only.taken;
-    headers.push(("x-trace-id", &taken.trace));
-    if let Some(key) = &taken.key {
+    headers.push(("x-trace-id", &taken.trace_id));
+    if let Some(key) = &taken.idempotency_key {
         headers.push(("idempotency-key", key));
     }
     request("POST", "/v1/messages", to, &headers, taken.body.clone())
--- a/src/bin/sender/client/outcome.rs
+++ b/src/bin/sender/client/outcome.rs
@@ -63,7 +63,7 @@
                 end => end,
             };
         };
-        match states.get(&m.taken.trace).map(String::as_str) {
+        match states.get(&m.taken.trace_id).map(String::as_str) {
             Some("done") => (Outcome::Served, true),
             Some("busy") => (Outcome::TurnedAway, false),
             Some("void") => (Outcome::NotSent, true),
--- a/src/bin/sender/client/pool.rs
+++ b/src/bin/sender/client/pool.rs
@@ -1,6 +1,6 @@
 //! Idle connections to endpoints: how long each may stand idle, and which makes room where there are too many.
 use crate::connection::{Connection, Counted};
-use crate::process_state::Keeps;
+use crate::process_state::IdleBounds;
 use sender::api::EndpointId;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -43,14 +43,14 @@
     }
 
     /// Closes all, and tells what was learned of how long connections may stand idle.
-    pub fn freeze(&self) -> Keeps {
+    pub fn freeze(&self) -> IdleBounds {
         self.links.borrow_mut().clear();
         let now = Instant::now();
         let keeps = self.keeps.borrow();
         keeps.iter().map(|(&endpoint, keep)| (endpoint, keep.bound, now - keep.since)).collect()
     }
 
-    pub fn thaw(&self, keeps: Keeps) {
+    pub fn thaw(&self, keeps: IdleBounds) {
         let now = Instant::now();
         for (endpoint, bound, age) in keeps {
             let since = now.checked_sub(age).unwrap_or(now);
--- a/src/bin/sender/control.rs
+++ b/src/bin/sender/control.rs
@@ -2,7 +2,7 @@
 //!
 //! One call a connection, with few places of its own: a caller that finishes nothing loses its place to the
 //! next one, so that it keeps nobody out. The core answers; nothing is decided here.
-use crate::input::{Change, Input};
+use crate::input::{Input, MaintenanceReply};
 use crate::server::{plain, wrong_method};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -133,7 +133,7 @@
 
     async fn health(&self) -> Response<Full<Bytes>> {
         let (reply, ready) = oneshot::channel();
-        match self.ask(Input::Health(reply), ready).await {
+        match self.ask(Input::HealthCheck(reply), ready).await {
             Some(true) if self.serving.get() => plain(StatusCode::OK, "ready\n"),
             _ => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         }
@@ -141,10 +141,12 @@
 
     async fn maint(&self, name: &str, out: bool) -> Response<Full<Bytes>> {
         let (reply, done) = oneshot::channel();
-        match self.ask(Input::Maint { name: name.to_string(), out, reply }, done).await {
-            Some(Change::Done) => plain(StatusCode::OK, if out { "maint\n" } else { "ready\n" }),
-            Some(Change::Unknown) => plain(StatusCode::NOT_FOUND, "no such endpoint\n"),
-            Some(Change::NotKept) | None => plain(StatusCode::SERVICE_UNAVAILABLE, "can't be kept\n"),
+        match self.ask(Input::Maintenance { endpoint_name: name.to_string(), out, reply }, done).await {
+            Some(MaintenanceReply::Done) => plain(StatusCode::OK, if out { "maint\n" } else { "ready\n" }),
+            Some(MaintenanceReply::UnknownEndpoint) => plain(StatusCode::NOT_FOUND, "no such endpoint\n"),
+            Some(MaintenanceReply::NotStored) | None => {
+                plain(StatusCode::SERVICE_UNAVAILABLE, "can't be kept\n")
+            }
         }
     }
 
--- a/src/bin/sender/core.rs
+++ b/src/bin/sender/core.rs
@@ -3,18 +3,20 @@
 use crate::config::Config;
 use crate::directory::Directory;
 use crate::first_catalogue::FirstCatalogue;
-use crate::input::{Change, Input, Reply};
+use crate::input::{Input, MaintenanceReply, Reply};
 use crate::journal::Journal;
 use crate::learned::{Learned, Numbers, Snapshot};
 use crate::list_intake::release;
 use crate::maint::Maint;
 use crate::notices::Notice;
-use crate::process_state::{Cancel, Numbered, Out, Rest, State, Unended};
+use crate::process_state::{
+    AttemptInFlight, CancellationToken, HandoverState, HeldMessages, NumberedCatalogue, RemainingWork,
+};
 use catalogue::{intake, Catalogue};
 use sender::api::*;
 use sender::on_demand::OnDemandList;
 use sender::policy::Sender;
-use sender::records::{wall_ms, Begun, Ending, Record, Taken};
+use sender::records::{unix_time_ms, AcceptedMessage, Record, StartedAttempt, Undelivered};
 use sender::settings::ProgramSettings;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
@@ -32,25 +34,25 @@
     /// Whether the module has to be told of the list in force.
     pub new_to_module: bool,
     /// What was handed over of messages; None where no process has.
-    pub unended: Option<Unended>,
+    pub unended: Option<HeldMessages>,
 }
 
 /// How the core's work ended.
 pub enum Stop {
     /// By itself after `Wind`, or as nobody is left to tell it anything.
     Finished,
-    HandedOver(Rest),
+    HandedOver(RemainingWork),
 }
 
 /// A message that the module has not ended.
 struct Held {
-    taken: Rc<Taken>,
+    taken: Rc<AcceptedMessage>,
     end: Ns,
     attempts: u32,
 }
 
 struct Offered {
-    taken: Rc<Taken>,
+    taken: Rc<AcceptedMessage>,
     /// More than one where the same message came twice in a round.
     replies: Vec<oneshot::Sender<Reply>>,
 }
@@ -99,7 +101,7 @@
     held: BTreeMap<u64, Held>,
     traces: HashMap<String, u64>,
     noticing: HashSet<u64>,
-    calls: HashMap<(u64, u32), Out>,
+    calls: HashMap<(u64, u32), AttemptInFlight>,
     /// Events of the core's own making, for the next round.
     next: Vec<Event>,
     timer: Option<Ns>,
@@ -107,7 +109,7 @@
     wind: Option<Instant>,
     /// Since when nothing could be written, or when that was last tried.
     write_failed: Option<Instant>,
-    handing_over: Option<oneshot::Sender<Option<State>>>,
+    handing_over: Option<oneshot::Sender<Option<HandoverState>>>,
 }
 
 /// Where the module's clock starts: attempts of earlier processes lie before it.
@@ -181,7 +183,7 @@
 
     /// Takes up what the process before has handed over, or else what was learned, with the list that this process
     /// was started with. What the one before held stands in the journal, by number.
-    pub fn start(&mut self, known: Catalogue, state: Option<State>) -> Start {
+    pub fn start(&mut self, known: Catalogue, state: Option<HandoverState>) -> Start {
         let handed = state.and_then(|state| self.take_over(state));
         let (first, unended) = match handed {
             Some((numbered, unended)) => (FirstCatalogue::handed_over(&numbered, known), Some(unended)),
@@ -194,18 +196,20 @@
     }
 
     /// Takes up what another process has decided so far; None where that was under other settings.
-    fn take_over(&mut self, state: State) -> Option<(Numbered, Unended)> {
-        if state.settings != self.told {
+    fn take_over(&mut self, state: HandoverState) -> Option<(NumberedCatalogue, HeldMessages)> {
+        if state.settings_json != self.told {
             tracing::warn!("the settings are new: going on from the journal alone");
             return None;
         }
-        self.sender = state.module.after_handover(self.settings.clone());
+        self.sender = state.policy.after_handover(self.settings.clone());
         self.go_on_from(state.clock);
         self.next_id = self.next_id.max(state.next_id);
-        let calls = state.calls.into_iter().map(|(id, n, endpoint)| ((id, n), endpoint));
-        self.calls = calls.map(|(call, endpoint)| (call, Out { endpoint, cancel: Rc::default() })).collect();
-        self.client.thaw(state.keeps);
-        Some((state.numbered, state.held))
+        let calls = state.attempts_in_flight.into_iter().map(|(id, n, endpoint)| ((id, n), endpoint));
+        self.calls = calls
+            .map(|(call, endpoint)| (call, AttemptInFlight { endpoint, cancel: Rc::default() }))
+            .collect();
+        self.client.thaw(state.idle_bounds);
+        Some((state.catalogue, state.held))
     }
 
     /// Lets the module's clock go on from a Unix time in nanoseconds.
@@ -235,13 +239,13 @@
     }
 
     /// The calls that are out.
-    pub fn calls(&self) -> HashMap<(u64, u32), Out> {
+    pub fn calls(&self) -> HashMap<(u64, u32), AttemptInFlight> {
         self.calls.clone()
     }
 
     /// Takes up what the journal holds beyond what was handed over. The list of the configuration may be old, so a
     /// fresh one is waited for, but not for long.
-    pub async fn resume(&mut self, handed: Option<Unended>, new_to_module: bool) {
+    pub async fn resume(&mut self, handed: Option<HeldMessages>, new_to_module: bool) {
         let mut events = Vec::new();
         self.heed_operators(&mut events);
         if new_to_module {
@@ -254,11 +258,11 @@
             }
         }
         let handed = handed.unwrap_or_default();
-        let (now, wall) = (self.clock(Instant::now()), wall_ms());
+        let (now, wall) = (self.clock(Instant::now()), unix_time_ms());
         let (mut lost, mut resumed, mut handed_over) = (Vec::new(), Vec::new(), Vec::new());
         for (&id, live) in self.journal.live() {
-            let taken = live.taken.clone();
-            if let Some(ending) = live.ending {
+            let taken = live.accepted.clone();
+            if let Some(ending) = live.undelivered {
                 lost.push((id, taken, ending, false));
                 continue;
             }
@@ -267,7 +271,7 @@
                 .iter()
                 .map(|a| PastAttempt {
                     endpoint: self.directory.catalogue().id(&a.endpoint),
-                    sent: now - (wall - a.at).max(0).saturating_mul(MS).min(CLOCK_START),
+                    sent: now - (wall - a.started_at_ms).max(0).saturating_mul(MS).min(CLOCK_START),
                     may_have_run: !a.never_ran,
                 })
                 .collect();
@@ -280,11 +284,11 @@
             let Some(class) = position(&self.around.classes, &taken.class) else {
                 // The settings no longer have its class, so the module can't be asked.
                 let ran = past.iter().any(|p| p.may_have_run);
-                let ending = if ran { Ending::GivenUp } else { Ending::HandedBack(None) };
+                let ending = if ran { Undelivered::GivenUp } else { Undelivered::HandedBack(None) };
                 lost.push((id, taken, ending, true));
                 continue;
             };
-            let left = (taken.end - wall).saturating_mul(MS);
+            let left = (taken.deadline_ms - wall).saturating_mul(MS);
             resumed.push((taken, class, left, attempts, past));
         }
         // The module knows these.
@@ -300,7 +304,8 @@
             tracing::info!(messages = self.held.len(), notices = lost.len(), "resumed from the journal");
         }
         let decided = lost.iter().filter(|(.., decide)| *decide);
-        let records: Vec<Record> = decided.map(|(id, _, ending, _)| Record::Decided(*id, *ending)).collect();
+        let records: Vec<Record> =
+            decided.map(|(id, _, ending, _)| Record::NoticeStarted(*id, *ending)).collect();
         if self.keep(&records).await == Kept::Unwritten {
             self.owe(records);
         }
@@ -394,24 +399,33 @@
     }
 
     /// From here on the next process decides, and the journal is its own.
-    fn hand_over(self, reply: oneshot::Sender<Option<State>>) -> Stop {
+    fn hand_over(self, reply: oneshot::Sender<Option<HandoverState>>) -> Stop {
         let clock = (self.clock(Instant::now()), wall_ns());
-        let numbered = Numbered::of(&self.directory.catalogue(), self.sender.known_endpoints());
+        let catalogue =
+            NumberedCatalogue::from_catalogue(&self.directory.catalogue(), self.sender.known_endpoints());
         // The next process has one of its own, and both share what memory there is.
         release(self.directory.clear());
-        let state = State {
-            settings: self.told,
-            module: self.sender,
+        let state = HandoverState {
+            settings_json: self.told,
+            policy: self.sender,
             clock,
-            numbered,
+            catalogue,
             held: self.held.iter().map(|(&id, held)| (id, (held.end, held.attempts))).collect(),
-            calls: self.calls.iter().map(|(&(id, attempt), out)| (id, attempt, out.endpoint)).collect(),
+            attempts_in_flight: self
+                .calls
+                .iter()
+                .map(|(&(id, attempt), out)| (id, attempt, out.endpoint))
+                .collect(),
             next_id: self.next_id,
-            keeps: self.client.freeze(),
+            idle_bounds: self.client.freeze(),
         };
         drop(self.journal);
         let _ = reply.send(Some(state));
-        Stop::HandedOver(Rest { inbox: self.inbox, asks: self.asks, calls: self.calls })
+        Stop::HandedOver(RemainingWork {
+            inbox: self.inbox,
+            control_inbox: self.asks,
+            attempts_in_flight: self.calls,
+        })
     }
 
     /// While winding down past its time, timers no longer matter.
@@ -430,7 +444,7 @@
 
     /// Tells the module and the client what operators say of endpoints that have come to be listed since.
     fn heed_operators(&mut self, events: &mut Vec<Event>) {
-        let (now, wall) = (self.clock(Instant::now()), wall_ms());
+        let (now, wall) = (self.clock(Instant::now()), unix_time_ms());
         let catalogue = self.directory.catalogue();
         for (name, back) in self.maint.all() {
             let Some(endpoint) = catalogue.id(name) else { continue };
@@ -447,13 +461,13 @@
     }
 
     /// Operators' calls repeat safely: one that changes nothing is a yes as well.
-    fn change(&mut self, name: &str, out: bool, events: &mut Vec<Event>) -> Change {
+    fn change(&mut self, name: &str, out: bool, events: &mut Vec<Event>) -> MaintenanceReply {
         let listed = self.directory.catalogue().id(name);
         if listed.is_none() && !self.maint.knows(name) {
-            return Change::Unknown;
+            return MaintenanceReply::UnknownEndpoint;
         }
         match self.maint.set(name, out) {
-            Ok(false) => Change::Done,
+            Ok(false) => MaintenanceReply::Done,
             Ok(true) => {
                 tracing::info!(endpoint = name, out, "told by operators");
                 // One that has left the list may come back under the number that it had.
@@ -462,11 +476,11 @@
                     self.client.take_out(endpoint, out);
                     events.push(Event::Maint { endpoint, out, at: self.clock(Instant::now()) });
                 }
-                Change::Done
+                MaintenanceReply::Done
             }
             Err(error) => {
                 tracing::error!(%error, endpoint = name, out, "cannot keep what operators told");
-                Change::NotKept
+                MaintenanceReply::NotStored
             }
         }
     }
@@ -490,40 +504,42 @@
     /// One round: all that has come, the module's answer to it, one write, then the actions.
     async fn round(&mut self, inputs: Vec<Input>, events: Vec<Event>) {
         let at = Instant::now();
-        let (now, wall) = (self.clock(at), wall_ms());
+        let (now, wall) = (self.clock(at), unix_time_ms());
         let (mut records, mut decided) = (Vec::new(), Vec::new());
         let mut round = Round { at, events, offered: BTreeMap::new(), claimed: 0 };
         self.on_demand.tell_pending(&self.sender, &*self.directory, CATCH_UP, &mut round.events);
         for input in inputs {
             match input {
-                Input::Offer { taken, end, reply } => self.offer(taken, end, reply, &mut round),
+                Input::Submit { message: taken, deadline: end, reply } => {
+                    self.offer(taken, end, reply, &mut round)
+                }
                 Input::Catalogue(taken) => self.follow_list(taken, &mut round.events),
-                Input::Ended(ends) => {
+                Input::AttemptsEnded(ends) => {
                     for end in ends {
                         let ms = end.took / MS;
                         tracing::debug!(end.id, end.attempt, end.endpoint, ?end.outcome, ms, "attempt ended");
                         let close = self.ended(&end, at, &mut records);
-                        decided.extend(close.map(|taken| (taken, Ending::GivenUp)));
+                        decided.extend(close.map(|taken| (taken, Undelivered::GivenUp)));
                         round.events.push(Event::AttemptEnd(end));
                     }
                 }
-                Input::Probed { endpoint, outcome, report } => {
+                Input::ProbeEnded { endpoint, outcome, report } => {
                     round.events.push(Event::Probed { endpoint, outcome, report })
                 }
-                Input::Noticed(ids) => {
+                Input::NoticesAcknowledged(ids) => {
                     for id in ids {
                         self.noticing.remove(&id);
                         records.push(Record::Ended(id));
                     }
                 }
-                Input::Wind(until) => self.wind = Some(until),
+                Input::ShutDown(until) => self.wind = Some(until),
                 Input::HandOver(reply) => self.handing_over = Some(reply),
-                Input::Health(reply) => {
+                Input::HealthCheck(reply) => {
                     let ready =
                         self.write_failed.is_none() && self.wind.is_none() && self.client.has_usable();
                     let _ = reply.send(ready);
                 }
-                Input::Maint { name, out, reply } => {
+                Input::Maintenance { endpoint_name: name, out, reply } => {
                     let _ = reply.send(self.change(&name, out, &mut round.events));
                 }
             }
@@ -561,8 +577,13 @@
                         limit = limit / MS,
                         "send"
                     );
-                    let record = Begun { number: attempt, at: wall, endpoint: name, never_ran: false };
-                    begun.push(Record::Begun(id, record));
+                    let record = StartedAttempt {
+                        number: attempt,
+                        started_at_ms: wall,
+                        endpoint: name,
+                        never_ran: false,
+                    };
+                    begun.push(Record::AttemptStarted(id, record));
                     let limit = if limit > 0 { (now + limit).min(end) } else { end };
                     let (end, limit, by) = (self.instant(end), self.instant(limit), self.instant(by));
                     let member = Member { attempt, taken, end, limit, by };
@@ -578,19 +599,19 @@
                     let backoff = (backoff > 0).then_some((backoff / MS) as u64);
                     match offered.remove(&id) {
                         Some(o) => refused.push((o, Reply::Refused(backoff.map(Duration::from_millis)))),
-                        None => endings.push((id, Ending::HandedBack(backoff))),
+                        None => endings.push((id, Undelivered::HandedBack(backoff))),
                     }
                 }
                 Action::Fail { id } => {
                     tracing::debug!(id, "given up");
                     match offered.remove(&id) {
                         Some(o) => refused.push((o, Reply::Failed)),
-                        None => endings.push((id, Ending::GivenUp)),
+                        None => endings.push((id, Undelivered::GivenUp)),
                     }
                 }
                 Action::Cancel { id, attempt } => {
                     if let Some(out) = self.calls.get(&(id, attempt)) {
-                        out.cancel.set();
+                        out.cancel.cancel();
                     }
                 }
                 Action::Probe { endpoint } => {
@@ -606,11 +627,11 @@
         }
         for &(id, ending) in &endings {
             if let Some(held) = self.forget(id) {
-                records.push(Record::Decided(id, ending));
+                records.push(Record::NoticeStarted(id, ending));
                 decided.push((held.taken, ending));
             }
         }
-        let mut all: Vec<Record> = offered.values().map(|o| Record::Taken(o.taken.clone())).collect();
+        let mut all: Vec<Record> = offered.values().map(|o| Record::Accepted(o.taken.clone())).collect();
         all.append(&mut records);
         let settled = all.len() - offered.len();
         all.append(&mut begun);
@@ -623,7 +644,7 @@
             Kept::Unsynced => {
                 let ends = offered.keys().map(|id| Record::Ended(*id));
                 let never = all[offered.len() + settled..].iter().filter_map(|r| match r {
-                    Record::Begun(id, begun) => Some(Record::NeverRan(*id, begun.number)),
+                    Record::AttemptStarted(id, begun) => Some(Record::AttemptNeverRan(*id, begun.number)),
                     _ => None,
                 });
                 self.owe(ends.chain(never).collect());
@@ -646,7 +667,7 @@
             return;
         }
         for (id, o) in offered {
-            if !o.answer(Reply::TakenOn) {
+            if !o.answer(Reply::Accepted) {
                 // The client has left without its answer: it may hand the message in again elsewhere.
                 self.next.push(Event::Withdrawn { id });
                 self.forget(id);
@@ -654,20 +675,27 @@
             }
         }
         for (endpoint, members) in calls {
-            let cancel = Rc::new(Cancel::default());
+            let cancel = Rc::new(CancellationToken::default());
             for m in &members {
-                self.calls.insert((m.taken.id, m.attempt), Out { endpoint, cancel: cancel.clone() });
+                self.calls
+                    .insert((m.taken.id, m.attempt), AttemptInFlight { endpoint, cancel: cancel.clone() });
             }
             tokio::task::spawn_local(self.client.clone().call(endpoint, members, cancel));
         }
     }
 
-    fn offer(&mut self, mut taken: Taken, end: Instant, reply: oneshot::Sender<Reply>, round: &mut Round) {
-        if let Some(id) = self.traces.get(&taken.trace) {
+    fn offer(
+        &mut self,
+        mut taken: AcceptedMessage,
+        end: Instant,
+        reply: oneshot::Sender<Reply>,
+        round: &mut Round,
+    ) {
+        if let Some(id) = self.traces.get(&taken.trace_id) {
             // The same message once more, while it is held: it is taken on already, or shares this round's fate.
             match round.offered.get_mut(id) {
                 Some(first) => first.replies.push(reply),
-                None => _ = reply.send(Reply::TakenOn),
+                None => _ = reply.send(Reply::Accepted),
             }
             return;
         }
@@ -676,7 +704,7 @@
         let room = room.filter(|_| self.held.len() < self.settings.max_open && self.wind.is_none());
         let (Some(claim), Some(class)) = (room, position(&self.around.classes, &taken.class)) else {
             let after = Duration::from_nanos(self.sender.backoff(taken.dest).max(0) as u64);
-            tracing::debug!(trace = taken.trace, dest = taken.dest, ?after, "no room");
+            tracing::debug!(trace = taken.trace_id, dest = taken.dest, ?after, "no room");
             let _ = reply.send(Reply::Refused(Some(after)));
             return;
         };
@@ -691,42 +719,62 @@
     }
 
     /// Enters a message that the module is about to be told of.
-    fn hold(&mut self, taken: Rc<Taken>, class: usize, left: Ns, end: Ns, attempts: u32) -> Message {
+    fn hold(
+        &mut self,
+        taken: Rc<AcceptedMessage>,
+        class: usize,
+        left: Ns,
+        end: Ns,
+        attempts: u32,
+    ) -> Message {
         let (id, dest) = (taken.id, taken.dest);
         let tenant = position(&self.around.tenants, &taken.tenant).unwrap_or(0);
         // By its own id a message can be followed from sender to sender; all else here goes by the number.
-        tracing::debug!(id, trace = taken.trace, class = taken.class, dest, ms = left / MS, attempts, "held");
-        self.traces.insert(taken.trace.clone(), id);
+        tracing::debug!(
+            id,
+            trace = taken.trace_id,
+            class = taken.class,
+            dest,
+            ms = left / MS,
+            attempts,
+            "held"
+        );
+        self.traces.insert(taken.trace_id.clone(), id);
         self.held.insert(id, Held { taken, end, attempts });
         Message { id, class, dest, time_left: left, cost: 0, key: None, tenant }
     }
 
-    fn notify(&mut self, taken: &Taken, ending: Ending) {
+    fn notify(&mut self, taken: &AcceptedMessage, ending: Undelivered) {
         self.noticing.insert(taken.id);
-        let _ = self.notices.send(Notice { id: taken.id, trace: taken.trace.clone(), ending });
+        let _ = self.notices.send(Notice { id: taken.id, trace: taken.trace_id.clone(), ending });
     }
 
     /// Books an attempt's end. What comes back was delivered too close to its time's end to be over by that alone.
-    fn ended(&mut self, end: &AttemptEnd, at: Instant, records: &mut Vec<Record>) -> Option<Rc<Taken>> {
+    fn ended(
+        &mut self,
+        end: &AttemptEnd,
+        at: Instant,
+        records: &mut Vec<Record>,
+    ) -> Option<Rc<AcceptedMessage>> {
         self.calls.remove(&(end.id, end.attempt));
         let left = self.held.get(&end.id)?.end - self.clock(at);
         if end.done {
             let held = self.forget(end.id)?;
             if end.outcome == Outcome::Served && left < CLOSE.as_nanos() as Ns {
                 // Where it was not in time it has no end yet, and where it was a notice does no harm.
-                records.push(Record::Decided(end.id, Ending::GivenUp));
+                records.push(Record::NoticeStarted(end.id, Undelivered::GivenUp));
                 return Some(held.taken);
             }
             records.push(Record::Ended(end.id));
         } else if end.outcome.never_ran() {
-            records.push(Record::NeverRan(end.id, end.attempt));
+            records.push(Record::AttemptNeverRan(end.id, end.attempt));
         }
         None
     }
 
     fn forget(&mut self, id: u64) -> Option<Held> {
         let held = self.held.remove(&id)?;
-        self.traces.remove(&held.taken.trace);
+        self.traces.remove(&held.taken.trace_id);
         Some(held)
     }
 
@@ -740,7 +788,9 @@
         if written.is_err() {
             return Kept::Unwritten;
         }
-        let follows = |r: &Record| matches!(r, Record::Taken(_) | Record::Begun(..) | Record::Decided(..));
+        let follows = |r: &Record| {
+            matches!(r, Record::Accepted(_) | Record::AttemptStarted(..) | Record::NoticeStarted(..))
+        };
         let waits = self.journal.in_groups() && records.iter().any(follows);
         if waits && !self.sync().await {
             return Kept::Unsynced;
--- a/src/bin/sender/core/tests.rs
+++ b/src/bin/sender/core/tests.rs
@@ -186,18 +186,18 @@
 }
 
 fn offer_to(dest: u64, id: &str) -> (Input, oneshot::Receiver<Reply>) {
-    let taken = Taken {
+    let taken = AcceptedMessage {
         id: 0,
         class: "order".into(),
         tenant: "acme".into(),
         dest,
-        trace: id.into(),
-        key: None,
-        end: wall_ms() + 16_000,
+        trace_id: id.into(),
+        idempotency_key: None,
+        deadline_ms: unix_time_ms() + 16_000,
         body: Bytes::from_static(b"body"),
     };
     let (reply, answer) = oneshot::channel();
-    (Input::Offer { taken, end: Instant::now() + Duration::from_secs(16), reply }, answer)
+    (Input::Submit { message: taken, deadline: Instant::now() + Duration::from_secs(16), reply }, answer)
 }
 
 async fn until(what: &str, so: impl Fn() -> bool) {
@@ -232,7 +232,7 @@
 async fn started_with(
     folder: &Path,
     known: Catalogue,
-    state: impl Fn(&Config) -> Option<State>,
+    state: impl Fn(&Config) -> Option<HandoverState>,
 ) -> (mpsc::Sender<Input>, Syncs, Catalogue) {
     let syncs = Syncs::new();
     let config = config(folder);
@@ -252,16 +252,21 @@
 }
 
 /// What a process has handed over whose module knows nothing, of a list of a generation.
-fn handed_over(config: &Config, generation: u64) -> State {
-    State {
-        settings: config.told.clone(),
-        module: Sender::new(config.settings.clone(), 1),
+fn handed_over(config: &Config, generation: u64) -> HandoverState {
+    HandoverState {
+        settings_json: config.told.clone(),
+        policy: Sender::new(config.settings.clone(), 1),
         clock: (CLOCK_START, wall_ns()),
-        numbered: Numbered { endpoints: Vec::new(), whole: false, next_id: 5, generation: Some(generation) },
-        held: Unended::new(),
-        calls: Vec::new(),
+        catalogue: NumberedCatalogue {
+            endpoints: Vec::new(),
+            whole: false,
+            next_id: 5,
+            generation: Some(generation),
+        },
+        held: HeldMessages::new(),
+        attempts_in_flight: Vec::new(),
         next_id: 0,
-        keeps: Vec::new(),
+        idle_bounds: Vec::new(),
     }
 }
 
@@ -283,7 +288,7 @@
         // The segment is begun with syncs of its own.
         let (input, answer) = offer("m0");
         core.send(input).await.unwrap();
-        assert!(matches!(answer.await, Ok(Reply::TakenOn)));
+        assert!(matches!(answer.await, Ok(Reply::Accepted)));
         until("it is delivered", || calls.get() == 1).await;
         let before = syncs.count();
         syncs.set(Gate::Closed);
@@ -305,9 +310,9 @@
         assert!(others.iter_mut().all(|answer| answer.try_recv().is_err()));
         assert_eq!(syncs.count(), before + 1);
         syncs.set(Gate::Open);
-        assert!(matches!(first.await, Ok(Reply::TakenOn)));
+        assert!(matches!(first.await, Ok(Reply::Accepted)));
         for answer in others {
-            assert!(matches!(answer.await, Ok(Reply::TakenOn)));
+            assert!(matches!(answer.await, Ok(Reply::Accepted)));
         }
         // One for the first and one for all that came meanwhile; calls that begin later have theirs.
         let count = syncs.count() - before;
@@ -327,7 +332,7 @@
         assert!(matches!(answer.await, Ok(Reply::Refused(Some(_)))));
         let healthy = || async {
             let (reply, health) = oneshot::channel();
-            core.send(Input::Health(reply)).await.unwrap();
+            core.send(Input::HealthCheck(reply)).await.unwrap();
             health.await.unwrap()
         };
         assert!(!healthy().await);
@@ -340,13 +345,13 @@
         assert_eq!(calls.get(), 0);
         let (input, answer) = offer("m2");
         core.send(input).await.unwrap();
-        assert!(matches!(answer.await, Ok(Reply::TakenOn)));
+        assert!(matches!(answer.await, Ok(Reply::Accepted)));
         drop(core);
     });
     // As a process that is killed now leaves it.
     let syncs = Syncs::new();
     let left = journal(&folder.0, &syncs);
-    assert!(left.live().values().all(|owed| owed.taken.trace != "m1"));
+    assert!(left.live().values().all(|owed| owed.accepted.trace_id != "m1"));
 }
 
 #[test]
@@ -359,7 +364,7 @@
         let (core, _, watched) = started_with(&folder.0, known, |c| Some(handed_over(c, 2))).await;
         let (input, answer) = offer("m1");
         core.send(input).await.unwrap();
-        assert!(matches!(answer.await, Ok(Reply::TakenOn)));
+        assert!(matches!(answer.await, Ok(Reply::Accepted)));
         for _ in 0..200 {
             tokio::task::yield_now().await;
         }
@@ -380,24 +385,24 @@
         let (core, ..) = started_with(&folder.0, Catalogue::default(), |_| None).await;
         let (input, answer) = offer("m1");
         core.send(input).await.unwrap();
-        assert!(matches!(answer.await, Ok(Reply::TakenOn)));
+        assert!(matches!(answer.await, Ok(Reply::Accepted)));
         let listed = one_listed("e-1", at, 1);
         let id = listed.id("e-1").unwrap();
         core.send(changes(listed, vec![id])).await.unwrap();
         let change = |name: &str| {
             let (reply, change) = oneshot::channel();
-            (Input::Maint { name: name.into(), out: false, reply }, change)
+            (Input::Maintenance { endpoint_name: name.into(), out: false, reply }, change)
         };
         let (input, unknown) = change("e-2");
         core.send(input).await.unwrap();
-        assert_eq!(unknown.await, Ok(Change::Unknown));
+        assert_eq!(unknown.await, Ok(MaintenanceReply::UnknownEndpoint));
         for _ in 0..200 {
             tokio::task::yield_now().await;
         }
         assert_eq!(calls.get(), 0);
         let (input, done) = change("e-1");
         core.send(input).await.unwrap();
-        assert_eq!(done.await, Ok(Change::Done));
+        assert_eq!(done.await, Ok(MaintenanceReply::Done));
         until("it is delivered", || calls.get() == 1).await;
     });
 }
@@ -428,7 +433,7 @@
         for dest in 0..DESTINATIONS {
             let (input, answer) = offer_to(dest, &format!("m-{dest}"));
             core_in.send(input).await.unwrap();
-            assert!(matches!(answer.await, Ok(Reply::TakenOn)));
+            assert!(matches!(answer.await, Ok(Reply::Accepted)));
             until("it is delivered", || calls.get() as u64 == dest + 1).await;
         }
         // Both come in one round.
@@ -438,7 +443,7 @@
         core_in.try_send(Input::Catalogue(second)).unwrap();
         core_in.try_send(Input::HandOver(reply)).unwrap();
         let state = state.await.unwrap().expect("it hands over");
-        let told = new.ids().filter(|&endpoint| state.module.knows_endpoint(endpoint)).count();
+        let told = new.ids().filter(|&endpoint| state.policy.knows_endpoint(endpoint)).count();
         assert_eq!(told as u64, DESTINATIONS);
     });
 }
--- a/src/bin/sender/first_catalogue.rs
+++ b/src/bin/sender/first_catalogue.rs
@@ -1,6 +1,6 @@
 //! The catalogue that a process starts with: the list of its configuration, under the numbers of the module that it goes
 //! on with.
-use crate::process_state::Numbered;
+use crate::process_state::NumberedCatalogue;
 use catalogue::{Catalogue, Endpoint};
 use sender::api::EndpointId;
 
@@ -40,7 +40,7 @@
     }
 
     /// Of a process that another one has handed over to.
-    pub fn handed_over(numbered: &Numbered, known: Catalogue) -> FirstCatalogue {
+    pub fn handed_over(numbered: &NumberedCatalogue, known: Catalogue) -> FirstCatalogue {
         if numbered.generation.is_some() && known.generation() > numbered.generation {
             let names = numbered.endpoints.iter().map(|e| (e.number, e.name.as_str()));
             return FirstCatalogue::known(renumbered(names, numbered.next_id, known));
@@ -83,7 +83,7 @@
 }
 
 /// An endpoint as it was handed over. Versions that handed over no generation did not know zone and weight either.
-fn completed<'a>(endpoint: Endpoint<'a>, numbered: &Numbered, known: &'a Catalogue) -> Endpoint<'a> {
+fn completed<'a>(endpoint: Endpoint<'a>, numbered: &NumberedCatalogue, known: &'a Catalogue) -> Endpoint<'a> {
     let listed = known.id(endpoint.name).and_then(|id| known.get(id));
     match listed.filter(|_| numbered.generation.is_none()) {
         Some(Endpoint { zone, weight, .. }) => Endpoint { zone, weight, ..endpoint },
--- a/src/bin/sender/first_catalogue/tests.rs
+++ b/src/bin/sender/first_catalogue/tests.rs
@@ -17,11 +17,11 @@
 }
 
 /// What a process hands over whose module knows the endpoints of a list under numbers from 10 on.
-fn numbered(generation: Option<u64>, endpoints: &[(&str, bool)]) -> Numbered {
+fn numbered(generation: Option<u64>, endpoints: &[(&str, bool)]) -> NumberedCatalogue {
     let catalogue = list(0, endpoints);
     let numbers = (10..).zip(catalogue.ids().filter_map(|id| catalogue.get(id)));
     let endpoints: Vec<_> = numbers.map(|(number, e)| NumberedEndpoint::new(number, &e)).collect();
-    Numbered { endpoints, whole: false, next_id: 100, generation }
+    NumberedCatalogue { endpoints, whole: false, next_id: 100, generation }
 }
 
 fn lifecycle(catalogue: &Catalogue, name: &str) -> Option<Lifecycle> {
@@ -87,7 +87,7 @@
 #[test]
 fn a_list_that_passes_on_whole_is_in_force_at_once_and_watched_from_its_generation() {
     let known = list(4, &[("a", true), ("b", true), ("gone", true)]);
-    let whole = Numbered { whole: true, ..numbered(Some(5), &[("a", true), ("b", false)]) };
+    let whole = NumberedCatalogue { whole: true, ..numbered(Some(5), &[("a", true), ("b", false)]) };
     let first = FirstCatalogue::handed_over(&whole, known);
     assert!(!first.is_partial() && !first.new_to_module);
     assert_eq!((first.in_force.len(), first.watched.len(), first.generation), (2, 2, Some(5)));
@@ -96,7 +96,7 @@
 
 #[test]
 fn a_process_that_had_no_list_leaves_the_known_one_to_its_successor() {
-    let nothing = Numbered { whole: true, ..numbered(None, &[]) };
+    let nothing = NumberedCatalogue { whole: true, ..numbered(None, &[]) };
     let first = FirstCatalogue::handed_over(&nothing, list(4, &[("a", true)]));
     assert_eq!(first.watched.len(), 1);
 }
--- a/src/bin/sender/handover.rs
+++ b/src/bin/sender/handover.rs
@@ -7,9 +7,9 @@
 //! it. Should the new process die, the old one starts over from the journal; should the old one die, what it
 //! had out is a broken connection to the new one.
 use crate::client::end_of;
-use crate::input::{Change, Input, Reply};
+use crate::input::{Input, MaintenanceReply, Reply};
 use crate::owner::Owner;
-use crate::process_state::{Out, Rest, State};
+use crate::process_state::{AttemptInFlight, HandoverState, RemainingWork};
 use crate::process_state_v1::StateV1;
 use crate::server::{Moved, Server};
 use bytes::Bytes;
@@ -18,7 +18,7 @@
     SendAncillaryMessage, SendFlags,
 };
 use sender::api::{AttemptEnd, Outcome};
-use sender::records::Taken;
+use sender::records::AcceptedMessage;
 use sender::settings::ProgramSettings;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -57,7 +57,7 @@
         version: u32,
     },
     /// The answer, with the listener.
-    State(Box<State>),
+    State(Box<HandoverState>),
     /// Old to new: a client's connection, what has been read of it, whether it has brought a whole request, and
     /// for how long it has stood.
     Client {
@@ -70,7 +70,7 @@
     /// Old to new: a message that came on a connection which had not passed on yet, and the answer to it.
     Offer {
         number: u64,
-        taken: Taken,
+        taken: AcceptedMessage,
         body: Bytes,
         left: Duration,
     },
@@ -86,7 +86,7 @@
     },
     Changed {
         number: u64,
-        change: Option<Change>,
+        change: Option<MaintenanceReply>,
     },
     /// New to old: the module calls an attempt off.
     Cancel {
@@ -216,7 +216,7 @@
 pub async fn claim(
     folder: &Path,
     around: &ProgramSettings,
-) -> io::Result<(Owner, Option<(Box<State>, Predecessor)>)> {
+) -> io::Result<(Owner, Option<(Box<HandoverState>, Predecessor)>)> {
     let mut told = false;
     // A process of the version before lets go of who asks for a form that it does not know.
     let mut versions = [VERSION, VERSION_BEFORE].into_iter().cycle();
@@ -244,7 +244,11 @@
     }
 }
 
-async fn ask(folder: &Path, version: u32, around: &ProgramSettings) -> io::Result<(Box<State>, Predecessor)> {
+async fn ask(
+    folder: &Path,
+    version: u32,
+    around: &ProgramSettings,
+) -> io::Result<(Box<HandoverState>, Predecessor)> {
     let door = Door::new(folder)?;
     let (mut reader, writer) = link(UnixStream::connect(&door.path).await?);
     writer.send(&Frame::Ask { version }, None).await?;
@@ -311,20 +315,20 @@
 /// Hands the new process what is left here until it ends or this process is told to; then for `end` at most.
 pub async fn pass_on(
     successor: Successor,
-    (state, listener): (State, &TcpListener),
-    rest: Rest,
+    (state, listener): (HandoverState, &TcpListener),
+    rest: RemainingWork,
     server: Rc<Server>,
     mut moved: mpsc::UnboundedReceiver<Moved>,
     (told, end): (impl Future<Output = ()>, Duration),
 ) -> Passed {
     let Successor { mut reader, writer } = successor;
-    let Rest { mut inbox, mut asks, mut calls } = rest;
+    let RemainingWork { mut inbox, control_inbox: mut asks, attempts_in_flight: mut calls } = rest;
     let mut told = pin!(told);
     let mut until: Option<Instant> = None;
     let mut number = 0;
     // Who waits for an answer here: as many as have connections to this process, at most.
     let mut offers: HashMap<u64, oneshot::Sender<Reply>> = HashMap::new();
-    let mut changes: HashMap<u64, oneshot::Sender<Change>> = HashMap::new();
+    let mut changes: HashMap<u64, oneshot::Sender<MaintenanceReply>> = HashMap::new();
     let mut sent = writer.send(&Frame::State(Box::new(state)), Some(listener.as_fd())).await;
     loop {
         if let Err(error) = sent {
@@ -343,8 +347,8 @@
             biased;
             () = &mut told, if until.is_none() => until = Some(Instant::now() + end),
             Some(ask) = asks.recv() => match ask {
-                Input::Health(reply) => _ = reply.send(until.is_none()),
-                Input::Maint { name, out, reply } => {
+                Input::HealthCheck(reply) => _ = reply.send(until.is_none()),
+                Input::Maintenance { endpoint_name: name, out, reply } => {
                     number += 1;
                     changes.insert(number, reply);
                     sent = writer.send(&Frame::Maint { number, name, out }, None).await;
@@ -356,22 +360,22 @@
                 sent = writer.send(&Frame::Client { read, whole, stood }, Some(stream.as_fd())).await;
             }
             Some(input) = inbox.recv() => match input {
-                Input::Ended(ends) => {
+                Input::AttemptsEnded(ends) => {
                     ends.iter().for_each(|e| _ = calls.remove(&(e.id, e.attempt)));
                     sent = writer.send(&Frame::Ended(ends), None).await;
                 }
-                Input::Offer { taken, end, reply } => {
+                Input::Submit { message, deadline, reply } => {
                     number += 1;
                     offers.insert(number, reply);
-                    let (body, left) = (taken.body.clone(), end.saturating_duration_since(Instant::now()));
-                    sent = writer.send(&Frame::Offer { number, taken, body, left }, None).await;
+                    let (body, left) = (message.body.clone(), deadline.saturating_duration_since(Instant::now()));
+                    sent = writer.send(&Frame::Offer { number, taken: message, body, left }, None).await;
                 }
                 // Lists and what the platform answers are the new process's affair.
                 _ => {}
             },
             frame = reader.next::<Frame>() => match frame {
                 Ok(Some((Frame::Cancel { id, attempt }, _))) => {
-                    calls.get(&(id, attempt)).into_iter().for_each(|out| out.cancel.set());
+                    calls.get(&(id, attempt)).into_iter().for_each(|out| out.cancel.cancel());
                 }
                 Ok(Some((Frame::Answer { number, reply }, _))) => {
                     offers.remove(&number).zip(reply).map(|(to, reply)| to.send(reply));
@@ -391,7 +395,7 @@
 /// Follows the process before until it ends: its calls (`out`, as far as the core has taken them up) end here.
 pub fn follow(
     before: Predecessor,
-    mut out: HashMap<(u64, u32), Out>,
+    mut out: HashMap<(u64, u32), AttemptInFlight>,
     core: mpsc::Sender<Input>,
     asks: mpsc::Sender<Input>,
     server: Rc<Server>,
@@ -410,7 +414,7 @@
         let (tell, cancel) = (tell.clone(), out.cancel.clone());
         spawn_local(async move {
             tokio::select! {
-                () = cancel.wait() => { let _ = tell.send(Frame::Cancel { id, attempt }); }
+                () = cancel.cancelled() => { let _ = tell.send(Frame::Cancel { id, attempt }); }
                 () = tell.closed() => {}
             }
         });
@@ -421,17 +425,18 @@
             match frame {
                 Frame::Ended(mut ends) => {
                     ends.retain(|e| out.remove(&(e.id, e.attempt)).is_some());
-                    let _ = core.send(Input::Ended(ends)).await;
+                    let _ = core.send(Input::AttemptsEnded(ends)).await;
                 }
                 Frame::Client { read, whole, stood } => {
                     if let Some(descriptor) = descriptor {
                         server.adopt(descriptor, read, whole, stood);
                     }
                 }
-                Frame::Offer { number, mut taken, body, left } => {
-                    taken.body = body;
+                Frame::Offer { number, taken: mut message, body, left } => {
+                    message.body = body;
                     let (reply, answer) = oneshot::channel();
-                    let _ = core.send(Input::Offer { taken, end: Instant::now() + left, reply }).await;
+                    let _ =
+                        core.send(Input::Submit { message, deadline: Instant::now() + left, reply }).await;
                     let tell = tell.clone();
                     spawn_local(async move {
                         let _ = tell.send(Frame::Answer { number, reply: answer.await.ok() });
@@ -439,7 +444,7 @@
                 }
                 Frame::Maint { number, name, out } => {
                     let (reply, change) = oneshot::channel();
-                    let _ = asks.send(Input::Maint { name, out, reply }).await;
+                    let _ = asks.send(Input::Maintenance { endpoint_name: name, out, reply }).await;
                     let tell = tell.clone();
                     spawn_local(async move {
                         let _ = tell.send(Frame::Changed { number, change: change.await.ok() });
@@ -454,6 +459,6 @@
             .map(|(&(id, attempt), out)| end_of(id, attempt, out.endpoint, Outcome::ConnectionLost, started))
             .collect();
         tracing::info!(calls = ends.len(), "the process before has ended");
-        let _ = core.send(Input::Ended(ends)).await;
+        let _ = core.send(Input::AttemptsEnded(ends)).await;
     });
 }
--- a/src/bin/sender/input.rs
+++ b/src/bin/sender/input.rs
@@ -1,60 +1,66 @@
-//! What the core is told, and the answers that it gives.
-use crate::process_state::State;
+//! The inputs of the core, and its replies.
+use crate::process_state::HandoverState;
 use catalogue::intake;
 use sender::api::{AttemptEnd, EndpointId, LimitReport, Outcome};
-use sender::records::Taken;
+use sender::records::AcceptedMessage;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What a client is answered.
+/// The reply to a client that handed in a message.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub enum Reply {
-    TakenOn,
-    /// Handing it in again is harmless; after how long, if that is known.
+    #[serde(rename = "TakenOn")]
+    Accepted,
+    /// The message had no effect and may be handed in again, after this time if it is known.
     Refused(Option<Duration>),
+    /// The message can't be delivered, and may have taken effect.
     Failed,
 }
 
-/// What became of an operator's call.
+/// The reply to an operator who takes an endpoint out or puts it back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Change {
-    /// It holds from now on, also for the processes to come.
+pub enum MaintenanceReply {
+    /// The change is in force, for the processes that follow as well.
     Done,
     /// No list has named that endpoint.
-    Unknown,
-    /// It could not be written down.
-    NotKept,
+    #[serde(rename = "Unknown")]
+    UnknownEndpoint,
+    /// The change could not be stored, and is not in force.
+    #[serde(rename = "NotKept")]
+    NotStored,
 }
 
+/// One input of the core.
 pub enum Input {
-    /// Whether messages can be taken and delivered.
-    Health(oneshot::Sender<bool>),
+    /// Asks whether messages can be accepted and delivered.
+    HealthCheck(oneshot::Sender<bool>),
     /// Operators take an endpoint out, or put it back.
-    Maint {
-        name: String,
+    Maintenance {
+        endpoint_name: String,
         out: bool,
-        reply: oneshot::Sender<Change>,
+        reply: oneshot::Sender<MaintenanceReply>,
     },
-    /// A message handed in; `taken.id` is given by the core.
-    Offer {
-        taken: Taken,
-        end: Instant,
+    /// A client hands in a message. The core sets `message.id`.
+    Submit {
+        message: AcceptedMessage,
+        deadline: Instant,
         reply: oneshot::Sender<Reply>,
     },
-    /// The list of endpoints has changed, or was read anew.
+    /// The list of endpoints has changed, or was read as a whole.
     Catalogue(intake::Taken),
-    Ended(Vec<AttemptEnd>),
-    Probed {
+    AttemptsEnded(Vec<AttemptEnd>),
+    ProbeEnded {
         endpoint: EndpointId,
         outcome: Outcome,
         report: Option<LimitReport>,
     },
-    /// The platform has answered for these notices.
-    Noticed(Vec<u64>),
-    /// Another process takes over: end the round and give up everything. None: not now.
-    HandOver(oneshot::Sender<Option<State>>),
-    /// No client can come any more: end once nothing is left to do, and start nothing new after this time.
-    Wind(Instant),
+    /// The platform has acknowledged the notices for these messages.
+    NoticesAcknowledged(Vec<u64>),
+    /// Another process takes over: finish the round and hand over everything. The reply is None if that is
+    /// not possible now.
+    HandOver(oneshot::Sender<Option<HandoverState>>),
+    /// No more messages can come in: stop once nothing is left to do, and begin nothing new after this time.
+    ShutDown(Instant),
 }
--- a/src/bin/sender/journal.rs
+++ b/src/bin/sender/journal.rs
@@ -6,8 +6,8 @@
 
 use crate::config::Sync;
 use crate::owner::Owner;
-use sender::records::book::Book;
-use sender::records::{payload, Owed, Record, Taken};
+use sender::records::pending::PendingMessages;
+use sender::records::{payload, AcceptedMessage, PendingMessage, Record};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
@@ -45,7 +45,7 @@
         Config {
             owner: self.name.to_string(),
             limit: (self.disk_mb * 1e6 * PART) as u64,
-            largest: payload::largest(BODY, TEXTS, self.attempts()),
+            largest: payload::max_payload_bytes(BODY, TEXTS, self.attempts()),
             durable: self.sync != Sync::None,
         }
     }
@@ -53,7 +53,7 @@
 
 pub struct Journal<F: Files = Disk> {
     log: Log<F>,
-    book: Book,
+    book: PendingMessages,
     /// Bytes that all that is owed may come to, and how many they may be.
     claimed: u64,
     bound: u64,
@@ -80,19 +80,20 @@
     F::File: Send + 'static,
 {
     pub fn on(files: F, owner: Owner, how: &How) -> Result<Journal<F>, OpenError> {
-        let mut book = Book::default();
+        let mut book = PendingMessages::default();
         let config = how.config();
         let limit = config.limit;
-        let (log, found) = Log::open(files, config, |record| book.read(&record))?;
+        let (log, found) = Log::open(files, config, |record| book.apply_logged(&record))?;
         tell(&found);
         let max_attempts = how.attempts();
-        let claimed = book.owed().values().map(|o| payload::claim(&o.taken, max_attempts)).sum();
+        let claimed =
+            book.messages().values().map(|o| payload::max_log_bytes(&o.accepted, max_attempts)).sum();
         Ok(Journal {
             log,
             book,
             claimed,
             // What the longest record takes beyond a segment's end is none of it (`store`, its test of room).
-            bound: (limit / 2).saturating_sub(payload::largest(BODY, TEXTS, max_attempts) as u64),
+            bound: (limit / 2).saturating_sub(payload::max_payload_bytes(BODY, TEXTS, max_attempts) as u64),
             max_attempts,
             sync: how.sync,
             synced_at: Instant::now(),
@@ -102,13 +103,13 @@
         })
     }
 
-    pub fn live(&self) -> &BTreeMap<u64, Owed> {
-        self.book.owed()
+    pub fn live(&self) -> &BTreeMap<u64, PendingMessage> {
+        self.book.messages()
     }
 
     /// Whether there is room for one more besides `waiting` bytes that were promised in this round; what it takes.
-    pub fn has_room(&self, taken: &Taken, waiting: u64) -> Option<u64> {
-        let claim = payload::claim(taken, self.max_attempts);
+    pub fn has_room(&self, taken: &AcceptedMessage, waiting: u64) -> Option<u64> {
+        let claim = payload::max_log_bytes(taken, self.max_attempts);
         (self.claimed + waiting + claim <= self.bound).then_some(claim)
     }
 
@@ -148,7 +149,7 @@
         let coded: Vec<(u64, Does, Vec<u8>)> = records
             .iter()
             .map(|record| {
-                let (does, payload) = payload::write(record);
+                let (does, payload) = payload::encode_record(record);
                 (record.id(), does, payload)
             })
             .collect();
@@ -202,13 +203,17 @@
     }
 
     fn note(&mut self, record: &Record) {
-        let before = self.book.owed().get(&record.id()).map(|o| payload::claim(&o.taken, self.max_attempts));
+        let before = self
+            .book
+            .messages()
+            .get(&record.id())
+            .map(|o| payload::max_log_bytes(&o.accepted, self.max_attempts));
         match (record, before) {
-            (Record::Taken(taken), _) => self.claimed += payload::claim(taken, self.max_attempts),
+            (Record::Accepted(taken), _) => self.claimed += payload::max_log_bytes(taken, self.max_attempts),
             (Record::Ended(_), Some(claim)) => self.claimed -= claim,
             _ => {}
         }
-        self.book.note(record);
+        self.book.apply(record);
     }
 }
 
--- a/src/bin/sender/journal/takeover.rs
+++ b/src/bin/sender/journal/takeover.rs
@@ -2,8 +2,8 @@
 //!
 //! The log takes the file's name, as a folder: a sender of that time that is started again can't read it and says so,
 //! where it would otherwise begin with nothing and forget what it owes.
-use sender::records::book::Book;
 use sender::records::journal_file;
+use sender::records::pending::PendingMessages;
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -65,16 +65,16 @@
             false => tracing::error!("journal: DAMAGED: bytes {start} to {end} are no records"),
         }
     }
-    let mut book = Book::default();
-    read.records.iter().for_each(|r| book.note(r));
+    let mut book = PendingMessages::default();
+    read.records.iter().for_each(|r| book.apply(r));
     let (mut log, _) = Log::open(Disk::new(folder), config.clone(), |_| Ok(()))?;
-    for (&key, owed) in book.owed() {
-        let payload = sender::records::payload::image(owed);
+    for (&key, owed) in book.messages() {
+        let payload = sender::records::payload::encode_message(owed);
         log.append(&[Entry { key, does: Does::Begin, payload: &payload }], &book)?;
     }
     if config.durable {
         log.sync(&book)?;
     }
-    tracing::info!(messages = book.owed().len(), "journal: taken over");
+    tracing::info!(messages = book.messages().len(), "journal: taken over");
     Ok(())
 }
--- a/src/bin/sender/main.rs
+++ b/src/bin/sender/main.rs
@@ -187,7 +187,7 @@
     let mut core = core::Core::new(config, journal, maint, client, inbox, asks, notices_in);
     let (state, before) = before.unzip();
     let passed: HashSet<_> =
-        state.iter().flat_map(|s| &s.calls).map(|&(id, attempt, _)| (id, attempt)).collect();
+        state.iter().flat_map(|s| &s.attempts_in_flight).map(|&(id, attempt, _)| (id, attempt)).collect();
     let start = core.start(known, state.map(|s| *s));
     let intake = list_intake::ListIntake::new(start.watched, limits);
     let watch = discovery::follow(discovery, core_in.clone(), backoff, intake, start.generation);
@@ -269,7 +269,7 @@
         }
     };
     let _ = timeout(CLIENTS_GONE - ACCEPT_ON, gone).await;
-    let _ = core_in.send(input::Input::Wind(told + BEGIN_ON)).await;
+    let _ = core_in.send(input::Input::ShutDown(told + BEGIN_ON)).await;
     let _ = timeout_at(told + END, core_in.closed()).await;
     // What the core did not take any more is refused; that answer still has to be written.
     let answered = async {
--- a/src/bin/sender/maint.rs
+++ b/src/bin/sender/maint.rs
@@ -1,5 +1,5 @@
 //! Which endpoints operators have taken out, kept in `$EDGE_STATE` from before they are told yes.
-use sender::records::wall_ms;
+use sender::records::unix_time_ms;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -56,7 +56,7 @@
         if out == self.is_out(name) {
             return Ok(false);
         }
-        let (mut names, now) = (self.names.clone(), wall_ms());
+        let (mut names, now) = (self.names.clone(), unix_time_ms());
         names.back.retain(|_, &mut at| now - at < self.cold_ms);
         if out {
             names.out.insert(name.to_string());
--- a/src/bin/sender/notices.rs
+++ b/src/bin/sender/notices.rs
@@ -2,7 +2,7 @@
 use crate::client::MAX_BODY;
 use crate::connection::{self, Connection};
 use crate::input::Input;
-use sender::records::Ending;
+use sender::records::Undelivered;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 pub struct Notice {
     pub id: u64,
     pub trace: String,
-    pub ending: Ending,
+    pub ending: Undelivered,
 }
 
 /// Notices in one post at most: with the longest ids that are taken on the body stays under 64 KiB.
@@ -27,9 +27,9 @@
 
 fn line(notice: &Notice) -> String {
     let line = match notice.ending {
-        Ending::GivenUp => json!({"message": notice.trace, "outcome": "given_up"}),
-        Ending::HandedBack(None) => json!({"message": notice.trace, "outcome": "handed_back"}),
-        Ending::HandedBack(Some(ms)) => {
+        Undelivered::GivenUp => json!({"message": notice.trace, "outcome": "given_up"}),
+        Undelivered::HandedBack(None) => json!({"message": notice.trace, "outcome": "handed_back"}),
+        Undelivered::HandedBack(Some(ms)) => {
             json!({"message": notice.trace, "outcome": "handed_back", "retry_in_ms": ms})
         }
     };
@@ -86,7 +86,7 @@
             tracing::info!("the platform takes notices again");
         }
         let ids = batch.drain(..).map(|n| n.id).collect();
-        if core.send(Input::Noticed(ids)).await.is_err() {
+        if core.send(Input::NoticesAcknowledged(ids)).await.is_err() {
             return;
         }
     }
--- a/src/bin/sender/process_state.rs
+++ b/src/bin/sender/process_state.rs
@@ -1,4 +1,4 @@
-//! What passes from one process to the next in an upgrade, and what stays with the process that has handed over.
+//! The state that one process hands to the next in an upgrade, and what the old process keeps.
 use crate::input::Input;
 use catalogue::{Catalogue, Endpoint, Lifecycle};
 use sender::api::{EndpointId, Ns};
@@ -11,42 +11,52 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, Notify};
 
-/// Messages not ended, by number, with the end of their time and their attempts so far.
-pub type Unended = BTreeMap<u64, (Ns, u32)>;
-/// Bounds on how long connections may stand idle, by endpoint, with the age of each.
-pub type Keeps = Vec<(EndpointId, Duration, Duration)>;
+/// Messages that have not ended, by number, each with its deadline on the policy's clock and its count of
+/// attempts.
+pub type HeldMessages = BTreeMap<u64, (Ns, u32)>;
+/// For each endpoint with a lowered bound on idle time: the bound, and how long ago it was set.
+pub type IdleBounds = Vec<(EndpointId, Duration, Duration)>;
 
-/// All that the next process needs besides the journal.
+/// Everything that the next process needs besides the journal.
 #[derive(Serialize, Deserialize)]
-pub struct State {
-    /// With other settings it can't be used.
-    pub settings: String,
-    pub module: Sender,
-    /// The module's time at a Unix time in nanoseconds: its clock goes on.
+pub struct HandoverState {
+    /// The settings as JSON. A process with other settings can't use the state.
+    #[serde(rename = "settings")]
+    pub settings_json: String,
+    #[serde(rename = "module")]
+    pub policy: Sender,
+    /// A time of the policy's clock and the Unix time in nanoseconds that it corresponds to; the clock
+    /// continues.
     pub clock: (Ns, u64),
-    pub numbered: Numbered,
-    pub held: Unended,
-    /// Calls out.
-    pub calls: Vec<(u64, u32, EndpointId)>,
+    #[serde(rename = "numbered")]
+    pub catalogue: NumberedCatalogue,
+    pub held: HeldMessages,
+    /// Attempts in flight: number of the message, number of the attempt, endpoint.
+    #[serde(rename = "calls")]
+    pub attempts_in_flight: Vec<(u64, u32, EndpointId)>,
+    /// The number of the next message.
     pub next_id: u64,
-    pub keeps: Keeps,
+    #[serde(rename = "keeps")]
+    pub idle_bounds: IdleBounds,
 }
 
-/// A list of more endpoints does not pass on whole: it would hold both processes up, and not fit a frame.
-const MAX_WHOLE: usize = 10_000;
+/// Most endpoints of a list that is handed over whole. A longer one would stall both processes and exceed a
+/// frame.
+const MAX_WHOLE_LIST: usize = 10_000;
 
-/// Endpoints that the list names, under the module's numbers: all of them, or those that the module knows.
+/// Endpoints of the list under the policy's numbers: all of them, or those that the policy knows.
 #[derive(Serialize, Deserialize, Default)]
-pub struct Numbered {
+pub struct NumberedCatalogue {
     pub endpoints: Vec<NumberedEndpoint>,
-    /// They are all that the list names.
+    /// Whether these are all endpoints of the list.
     pub whole: bool,
-    /// Above all numbers that were ever given.
+    /// Greater than every number that was ever assigned.
     pub next_id: EndpointId,
-    /// The generation of the list that they are from.
+    /// The generation of the list, if known.
     pub generation: Option<u64>,
 }
 
+/// An endpoint as the list describes it, under its number.
 #[derive(Serialize, Deserialize)]
 pub struct NumberedEndpoint {
     pub number: EndpointId,
@@ -86,14 +96,17 @@
     }
 }
 
-impl Numbered {
-    /// A list of moderate length, or else what a module knows of it.
-    pub fn of(catalogue: &Catalogue, known: impl Iterator<Item = EndpointId>) -> Numbered {
-        let whole = catalogue.len() <= MAX_WHOLE;
+impl NumberedCatalogue {
+    /// Takes the whole list if it is short enough, or else the endpoints in `known`.
+    pub fn from_catalogue(
+        catalogue: &Catalogue,
+        known: impl Iterator<Item = EndpointId>,
+    ) -> NumberedCatalogue {
+        let whole = catalogue.len() <= MAX_WHOLE_LIST;
         let numbers: Vec<EndpointId> = if whole { catalogue.ids().collect() } else { known.collect() };
         let listed =
             numbers.into_iter().filter_map(|id| Some(NumberedEndpoint::new(id, &catalogue.get(id)?)));
-        Numbered {
+        NumberedCatalogue {
             endpoints: listed.collect(),
             whole,
             next_id: catalogue.next_id(),
@@ -102,34 +115,39 @@
     }
 }
 
-/// What is left to the process that has handed over: calls out, and who may still come.
-pub struct Rest {
+/// What the process that has handed over still works on: its attempts in flight, and inputs that still reach
+/// it.
+pub struct RemainingWork {
     pub inbox: mpsc::Receiver<Input>,
-    pub asks: mpsc::Receiver<Input>,
-    pub calls: HashMap<(u64, u32), Out>,
+    /// Inputs that came by the control address.
+    pub control_inbox: mpsc::Receiver<Input>,
+    /// By number of the message and of the attempt.
+    pub attempts_in_flight: HashMap<(u64, u32), AttemptInFlight>,
 }
 
-/// One message's part in a call that is out.
+/// One message's part in a call that is in flight.
 #[derive(Clone)]
-pub struct Out {
+pub struct AttemptInFlight {
     pub endpoint: EndpointId,
-    pub cancel: Rc<Cancel>,
+    pub cancel: Rc<CancellationToken>,
 }
 
-/// Set once the module calls an attempt off.
+/// Tells a call that the policy has cancelled it. Only one task may wait for it.
 #[derive(Default)]
-pub struct Cancel {
-    set: Cell<bool>,
+pub struct CancellationToken {
+    cancelled: Cell<bool>,
     notify: Notify,
 }
 
-impl Cancel {
-    pub fn set(&self) {
-        self.set.set(true);
+impl CancellationToken {
+    pub fn cancel(&self) {
+        self.cancelled.set(true);
         self.notify.notify_one();
     }
-    pub async fn wait(&self) {
-        while !self.set.get() {
+
+    /// Waits until the token is cancelled.
+    pub async fn cancelled(&self) {
+        while !self.cancelled.get() {
             self.notify.notified().await;
         }
     }
--- a/src/bin/sender/process_state_v1.rs
+++ b/src/bin/sender/process_state_v1.rs
@@ -1,64 +1,84 @@
-//! The state as processes of the version before handed it over: every endpoint that lists ever named, by number.
-use crate::process_state::{Keeps, Numbered, NumberedEndpoint, State, Unended};
+//! Version 1 of the handed-over state: it names every endpoint that lists ever named, by number.
+use crate::process_state::{HandoverState, HeldMessages, IdleBounds, NumberedCatalogue, NumberedEndpoint};
 use sender::api::{DestId, EndpointId, Ns};
 use sender::policy::Sender;
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
+/// The state as a process of version 1 sends it.
 #[derive(Deserialize)]
 pub struct StateV1 {
-    settings: String,
-    module: Sender,
+    #[serde(rename = "settings")]
+    settings_json: String,
+    #[serde(rename = "module")]
+    policy: Sender,
     clock: (Ns, u64),
-    /// Name and machine type, as a number of the settings.
+    /// By number: the name, and the machine type as an index into the settings' list.
     endpoints: Vec<(String, usize)>,
-    held: Unended,
-    calls: Vec<(u64, u32, EndpointId)>,
+    held: HeldMessages,
+    #[serde(rename = "calls")]
+    attempts_in_flight: Vec<(u64, u32, EndpointId)>,
     next_id: u64,
     client: ClientV1,
 }
 
+/// The state of calls to endpoints.
 #[derive(Deserialize)]
 struct ClientV1 {
-    places: HashMap<EndpointId, PlaceV1>,
-    keeps: Keeps,
+    #[serde(rename = "places")]
+    endpoints: HashMap<EndpointId, EndpointV1>,
+    #[serde(rename = "keeps")]
+    idle_bounds: IdleBounds,
 }
 
 #[derive(Deserialize)]
-struct PlaceV1 {
+struct EndpointV1 {
     address: SocketAddr,
     route: (DestId, Option<EndpointId>),
-    /// The list says that it is ready.
-    listed: bool,
+    /// Whether the list had it as ready.
+    #[serde(rename = "listed")]
+    ready: bool,
 }
 
 impl StateV1 {
-    /// The same in today's form, with the settings' names of machine types. What was not ready counts as not listed,
-    /// and zones and weights were not told: the whole list has to be asked for.
-    pub fn upgrade(self, machine_types: &[String]) -> State {
-        let StateV1 { settings, module, clock, endpoints, held, calls, next_id, client } = self;
-        let places = &client.places;
-        let ready = |number: EndpointId| places.get(&number).filter(|place| place.listed);
+    /// Converts the state to the current version. `machine_types` are the settings' names.
+    ///
+    /// Endpoints that were not ready count as not listed. Version 1 has no zones and weights, so the
+    /// generation is left out, which makes the sender ask for the whole list.
+    pub fn upgrade(self, machine_types: &[String]) -> HandoverState {
+        let StateV1 { settings_json, policy, clock, endpoints, held, attempts_in_flight, next_id, client } =
+            self;
+        let known = &client.endpoints;
+        let ready = |number: EndpointId| known.get(&number).filter(|endpoint| endpoint.ready);
         let named = (0..).zip(&endpoints).filter_map(|(number, named)| Some((number, named, ready(number)?)));
-        let listed = named.map(|(number, (name, kind), place)| NumberedEndpoint {
+        let listed = named.map(|(number, (name, kind), endpoint)| NumberedEndpoint {
             number,
             name: name.clone(),
-            address: place.address,
+            address: endpoint.address,
             zone: String::new(),
             machine_type: machine_types.get(*kind).cloned().unwrap_or_default(),
-            destination: place.route.0,
+            destination: endpoint.route.0,
             ready: true,
             weight: 0.0,
         });
         let listed = listed.collect();
-        let numbered = Numbered {
+        let catalogue = NumberedCatalogue {
             endpoints: listed,
             whole: false,
             next_id: endpoints.len() as EndpointId,
             generation: None,
         };
-        State { settings, module, clock, numbered, held, calls, next_id, keeps: client.keeps }
+        HandoverState {
+            settings_json,
+            policy,
+            clock,
+            catalogue,
+            held,
+            attempts_in_flight,
+            next_id,
+            idle_bounds: client.idle_bounds,
+        }
     }
 }
 
--- a/src/bin/sender/server.rs
+++ b/src/bin/sender/server.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use percent_encoding::percent_decode_str;
 use sender::api::Effect;
-use sender::records::{wall_ms, Taken};
+use sender::records::{unix_time_ms, AcceptedMessage};
 use sender::settings::ProgramSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -455,7 +455,7 @@
             Err(why) => return plain(StatusCode::BAD_REQUEST, why),
         };
         let end = Instant::now() + left;
-        taken.end = wall_ms() + left.as_millis() as i64;
+        taken.deadline_ms = unix_time_ms() + left.as_millis() as i64;
         taken.body = match timeout_at(body_by, Limited::new(body, MAX_BODY).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
@@ -466,11 +466,11 @@
         };
         link.whole.set(true);
         let (reply, answer) = oneshot::channel();
-        if self.core.try_send(Input::Offer { taken, end, reply }).is_err() {
+        if self.core.try_send(Input::Submit { message: taken, deadline: end, reply }).is_err() {
             return refused(None);
         }
         match answer.await {
-            Ok(Reply::TakenOn) => plain(StatusCode::ACCEPTED, ""),
+            Ok(Reply::Accepted) => plain(StatusCode::ACCEPTED, ""),
             Ok(Reply::Refused(after)) => refused(after),
             Ok(Reply::Failed) => plain(StatusCode::INTERNAL_SERVER_ERROR, "can't be delivered"),
             Err(_) => refused(None),
@@ -478,7 +478,11 @@
     }
 
     /// What a message's headers say, with its body still to come.
-    fn read_head(&self, headers: &HeaderMap, class: usize) -> Result<(Taken, Duration), &'static str> {
+    fn read_head(
+        &self,
+        headers: &HeaderMap,
+        class: usize,
+    ) -> Result<(AcceptedMessage, Duration), &'static str> {
         // What says two things is no proper request: it may be read as another one elsewhere.
         let own = [
             "host",
@@ -529,7 +533,16 @@
             return Err("Idempotency-Key is missing");
         }
         let (class, tenant, trace) = (name.clone(), tenant.to_string(), trace.to_string());
-        let taken = Taken { id: 0, class, tenant, dest, trace, key, end: 0, body: Bytes::new() };
+        let taken = AcceptedMessage {
+            id: 0,
+            class,
+            tenant,
+            dest,
+            trace_id: trace,
+            idempotency_key: key,
+            deadline_ms: 0,
+            body: Bytes::new(),
+        };
         Ok((taken, Duration::from_millis(left.into())))
     }
 }
--- a/src/records.rs
+++ b/src/records.rs
@@ -1,27 +1,30 @@
-//! What a sender owes, as plain records: below all that takes messages on, writes them down or reads them back.
+//! Records of accepted messages, shared by the sender and by the tools that read its state folder.
 //!
-//! `payload` is their form in the log of `crates/store`, `journal_file` that of the single file before it.
-pub mod book;
+//! [`payload`] encodes them for the log of `crates/store`; [`journal_file`] is the format of the older single
+//! file.
 pub mod folder;
 pub mod journal_file;
 pub mod payload;
+pub mod pending;
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Names of endpoints longer than this are not taken from a list: records have a bound.
-pub const MAX_NAME: usize = catalogue::MAX_NAME;
+/// Bytes of an endpoint's name at most; lists with longer names are refused, so that the size of a record is
+/// bounded.
+pub const MAX_ENDPOINT_NAME: usize = catalogue::MAX_NAME;
 
-/// Unix time in milliseconds.
-pub fn wall_ms() -> i64 {
+/// Returns the current Unix time in milliseconds.
+pub fn unix_time_ms() -> i64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as i64)
 }
 
-/// A message as it was taken on: all that a call needs after a restart.
+/// A message as it was accepted, with everything that a call needs after a restart.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Taken {
+pub struct AcceptedMessage {
+    /// The sender's own number for the message.
     #[serde(rename = "i")]
     pub id: u64,
     #[serde(rename = "c")]
@@ -30,74 +33,82 @@
     pub tenant: String,
     #[serde(rename = "d")]
     pub dest: u64,
+    /// The client's id for the message.
     #[serde(rename = "m")]
-    pub trace: String,
+    pub trace_id: String,
     #[serde(rename = "k")]
-    pub key: Option<String>,
-    /// Deadline, Unix time in milliseconds.
+    pub idempotency_key: Option<String>,
+    /// Deadline, as Unix time in milliseconds.
     #[serde(rename = "t")]
-    pub end: i64,
+    pub deadline_ms: i64,
     #[serde(skip)]
     pub body: Bytes,
 }
 
-/// An attempt, written down before its call goes out.
+/// An attempt, recorded before its call is sent.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Begun {
+pub struct StartedAttempt {
+    /// Attempts of a message are numbered from 0.
     #[serde(rename = "n")]
     pub number: u32,
     /// Unix time in milliseconds.
     #[serde(rename = "t")]
-    pub at: i64,
+    pub started_at_ms: i64,
     #[serde(rename = "e")]
     pub endpoint: String,
+    /// The attempt is known to have had no effect.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub never_ran: bool,
 }
 
 /// How a message ended that was not delivered.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq)]
-pub enum Ending {
+pub enum Undelivered {
+    /// It may have taken effect.
     #[serde(rename = "g")]
     GivenUp,
-    /// After how many milliseconds its client may come again, if that is known.
+    /// It had no effect. Carries the milliseconds after which its client may retry, if known.
     #[serde(rename = "h")]
     HandedBack(Option<u64>),
 }
 
+/// One change to what is known of a message. The number in each variant is the message's.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub enum Record {
     #[serde(rename = "T")]
-    Taken(Rc<Taken>),
+    Accepted(Rc<AcceptedMessage>),
     #[serde(rename = "B")]
-    Begun(u64, Begun),
-    /// This attempt is known not to have run.
+    AttemptStarted(u64, StartedAttempt),
+    /// The attempt with this number is known to have had no effect.
     #[serde(rename = "N")]
-    NeverRan(u64, u32),
-    /// Its notice is under way. Written before the notice, so that a message whose client may hand it in
-    /// again is not sent by the next process too.
+    AttemptNeverRan(u64, u32),
+    /// The notice of how the message ended is on its way. Written before the notice is sent: its client may
+    /// then hand the message in again, so the next process must not send it as well.
     #[serde(rename = "D")]
-    Decided(u64, Ending),
+    NoticeStarted(u64, Undelivered),
+    /// Nothing more is owed for the message.
     #[serde(rename = "E")]
     Ended(u64),
 }
 
 impl Record {
-    /// The number of its message.
+    /// Returns the number of the message that the record is about.
     pub fn id(&self) -> u64 {
         match self {
-            Record::Taken(taken) => taken.id,
-            Record::Begun(id, _) | Record::NeverRan(id, _) | Record::Decided(id, _) | Record::Ended(id) => {
-                *id
-            }
+            Record::Accepted(message) => message.id,
+            Record::AttemptStarted(id, _)
+            | Record::AttemptNeverRan(id, _)
+            | Record::NoticeStarted(id, _)
+            | Record::Ended(id) => *id,
         }
     }
 }
 
-/// A message that is owed its end, with all that is known of it.
+/// A message that has not ended, with everything that is recorded of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Owed {
-    pub taken: Rc<Taken>,
-    pub attempts: Vec<Begun>,
-    pub ending: Option<Ending>,
+pub struct PendingMessage {
+    pub accepted: Rc<AcceptedMessage>,
+    pub attempts: Vec<StartedAttempt>,
+    /// Set once the message has failed and its notice is on its way.
+    pub undelivered: Option<Undelivered>,
 }
--- a/src/records/folder.rs
+++ b/src/records/folder.rs
@@ -1,6 +1,6 @@
-//! A sender's lasting folder, read without a change to it, and written anew from what could be read.
-use super::book::Book;
-use super::{journal_file, payload, Owed};
+//! Reads a sender's state folder without changing it, and writes a new one from what could be read.
+use super::pending::PendingMessages;
+use super::{journal_file, payload, PendingMessage, Undelivered};
 use serde::Serialize;
 use std::fs::{self, File, TryLockError};
 use std::io;
@@ -10,37 +10,38 @@
 use store::log::{Config, Entry, Log};
 use store::survey::{Damage, OpenError, Survey};
 
-/// In what form a folder keeps what is owed.
+/// How a folder stores its messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Form {
-    /// Nothing was ever written to it.
+pub enum JournalFormat {
+    /// The folder has no journal yet.
     Empty,
-    /// The single file of versions before the log.
+    /// The single file of versions that preceded the log.
     JournalFile,
     Log,
 }
 
-/// What is wrong in a folder.
+/// A problem found in a folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    pub what: String,
-    /// Whether a crash explains it, so that nothing acknowledged is gone.
+    #[serde(rename = "what")]
+    pub description: String,
+    /// Whether a crash explains it, so that no acknowledged message is lost.
     pub expected: bool,
 }
 
-/// A folder as it was found.
+/// The content of a folder.
 #[derive(Debug)]
-pub struct State {
-    pub form: Form,
-    /// The sender's name, as far as the folder says it.
+pub struct FolderState {
+    pub format: JournalFormat,
+    /// The sender's name, if the folder records it.
     pub owner: Option<String>,
     pub segments: usize,
-    /// Bytes of all files that hold records.
+    /// Total bytes of the files that hold records.
     pub bytes: u64,
     pub records: usize,
     pub faults: Vec<Fault>,
-    pub book: Book,
+    pub pending: PendingMessages,
 }
 
 #[derive(Debug, thiserror::Error)]
@@ -49,15 +50,15 @@
     Open { path: PathBuf, error: OpenError },
     #[error("{path}: {error}", path = path.display())]
     Io { path: PathBuf, error: io::Error },
-    #[error("{path}: it is not empty", path = path.display())]
+    #[error("{path}: the folder is not empty", path = path.display())]
     NotEmpty { path: PathBuf },
 }
 
-fn at<T>(path: &Path, result: io::Result<T>) -> Result<T, FolderError> {
+fn with_path<T>(path: &Path, result: io::Result<T>) -> Result<T, FolderError> {
     result.map_err(|error| FolderError::Io { path: path.to_path_buf(), error })
 }
 
-/// Whether a process owns the folder at this moment.
+/// Returns whether a running process owns the folder.
 pub fn is_owned(folder: &Path) -> Result<bool, FolderError> {
     let path = folder.join("owner");
     match File::open(&path) {
@@ -71,99 +72,100 @@
     }
 }
 
-/// Reads a sender's lasting folder.
-pub fn read(folder: &Path) -> Result<State, FolderError> {
-    at(folder, fs::read_dir(folder))?;
+/// Reads a sender's state folder.
+pub fn read(folder: &Path) -> Result<FolderState, FolderError> {
+    with_path(folder, fs::read_dir(folder))?;
     let journal = folder.join("journal");
     let next = folder.join("journal.next");
-    // Where the change from one form to the other was cut short after the file had gone out of its way.
-    let moved = folder.join("journal.old").exists() && !journal.exists();
-    if journal.is_dir() || moved {
-        return read_log(if moved { &next } else { &journal });
+    // A migration from the single file to the log was interrupted after it had moved the file away.
+    let interrupted = folder.join("journal.old").exists() && !journal.exists();
+    if journal.is_dir() || interrupted {
+        return read_log(if interrupted { &next } else { &journal });
     }
     if journal.exists() {
-        return read_file(&journal);
+        return read_journal_file(&journal);
     }
     let (bytes, records) = (0, 0);
-    let (owner, faults, book) = (None, Vec::new(), Book::default());
-    Ok(State { form: Form::Empty, owner, segments: 0, bytes, records, faults, book })
+    let (owner, faults, pending) = (None, Vec::new(), PendingMessages::default());
+    Ok(FolderState { format: JournalFormat::Empty, owner, segments: 0, bytes, records, faults, pending })
 }
 
-fn read_log(path: &Path) -> Result<State, FolderError> {
-    let mut book = Book::default();
-    let survey = Survey::read(&Disk::new(path), None, |_, record| book.read(&record))
+fn read_log(path: &Path) -> Result<FolderState, FolderError> {
+    let mut pending = PendingMessages::default();
+    let survey = Survey::read(&Disk::new(path), None, |_, record| pending.apply_logged(&record))
         .map_err(|error| FolderError::Open { path: path.to_path_buf(), error })?;
-    let fault = |d: &Damage| Fault { what: d.to_string(), expected: d.is_expected() };
-    Ok(State {
-        form: Form::Log,
+    let fault = |d: &Damage| Fault { description: d.to_string(), expected: d.is_expected() };
+    Ok(FolderState {
+        format: JournalFormat::Log,
         owner: survey.owner,
         segments: survey.segments.len(),
         bytes: survey.segments.iter().map(|(_, length)| length).sum(),
         records: survey.records,
         faults: survey.damage.iter().map(fault).collect(),
-        book,
+        pending,
     })
 }
 
-fn read_file(path: &Path) -> Result<State, FolderError> {
-    let bytes = at(path, fs::read(path))?;
-    let read = journal_file::read(&bytes);
-    let mut book = Book::default();
-    read.records.iter().for_each(|r| book.note(r));
+fn read_journal_file(path: &Path) -> Result<FolderState, FolderError> {
+    let bytes = with_path(path, fs::read(path))?;
+    let content = journal_file::read(&bytes);
+    let mut pending = PendingMessages::default();
+    content.records.iter().for_each(|r| pending.apply(r));
     let fault = |range: &std::ops::Range<usize>| Fault {
-        what: format!("journal: bytes {} to {} are no records", range.start, range.end),
+        description: format!("journal: bytes {} to {} hold no valid record", range.start, range.end),
         expected: range.end == bytes.len(),
     };
-    Ok(State {
-        form: Form::JournalFile,
+    Ok(FolderState {
+        format: JournalFormat::JournalFile,
         owner: None,
         segments: 1,
         bytes: bytes.len() as u64,
-        records: read.records.len(),
-        faults: read.damaged.iter().map(fault).collect(),
-        book,
+        records: content.records.len(),
+        faults: content.damaged.iter().map(fault).collect(),
+        pending,
     })
 }
 
-/// Writes what is owed to a new folder, in the form of the log, with what operators told beside it.
-pub fn write(from: &Path, book: &Book, owner: &str, to: &Path) -> Result<(), FolderError> {
-    at(to, fs::create_dir_all(to))?;
-    if at(to, fs::read_dir(to))?.next().is_some() {
+/// Writes pending messages to a new folder, as a log, and copies the list of endpoints that operators took
+/// out.
+pub fn write(from: &Path, pending: &PendingMessages, owner: &str, to: &Path) -> Result<(), FolderError> {
+    with_path(to, fs::create_dir_all(to))?;
+    if with_path(to, fs::read_dir(to))?.next().is_some() {
         return Err(FolderError::NotEmpty { path: to.to_path_buf() });
     }
     let path = to.join("journal");
-    at(&path, fs::create_dir(&path))?;
+    with_path(&path, fs::create_dir(&path))?;
     let failed = |error| FolderError::Open { path: path.clone(), error };
-    let bytes: u64 = book.owed().values().map(|o| payload::image(o).len() as u64).sum();
-    // Twice, as a log has room for what begins only while cleaning has room as well.
+    let bytes: u64 = pending.messages().values().map(|m| payload::encode_message(m).len() as u64).sum();
+    // Twice the size of the messages: a log accepts a new key only while it also has room to clean a segment.
     let limit = 2 * bytes + (8 << 20);
     let config = Config { owner: owner.to_string(), limit, largest: PAYLOAD, durable: true };
     let (mut log, _) = Log::open(Disk::new(&path), config, |_| Ok(())).map_err(failed)?;
-    for (&key, owed) in book.owed() {
-        let payload = payload::image(owed);
+    for (&key, message) in pending.messages() {
+        let payload = payload::encode_message(message);
         let entry = Entry { key, does: Does::Begin, payload: &payload };
-        log.append(&[entry], book).map_err(|e| failed(e.into()))?;
+        log.append(&[entry], pending).map_err(|e| failed(e.into()))?;
     }
-    log.sync(book).map_err(|e| failed(e.into()))?;
+    log.sync(pending).map_err(|e| failed(e.into()))?;
     let maint = from.join("maint");
     if maint.is_file() {
-        at(&maint, fs::copy(&maint, to.join("maint")))?;
+        with_path(&maint, fs::copy(&maint, to.join("maint")))?;
     }
-    at(to, store::files::Files::sync_names(&Disk::new(to)))
+    with_path(to, store::files::Files::sync_names(&Disk::new(to)))
 }
 
-/// An attempt, as it is shown.
+/// An attempt, as shown to operators.
 #[derive(Serialize)]
-pub struct ShownAttempt<'a> {
+pub struct AttemptView<'a> {
     pub number: u32,
     pub at_ms: i64,
     pub endpoint: &'a str,
     pub may_have_run: bool,
 }
 
-/// A message, as it is shown. Times are Unix times in milliseconds.
+/// A message, as shown to operators. Times are Unix times in milliseconds.
 #[derive(Serialize)]
-pub struct Shown<'a> {
+pub struct MessageView<'a> {
     pub number: u64,
     pub message: &'a str,
     pub class: &'a str,
@@ -172,33 +174,33 @@
     pub key: Option<&'a str>,
     pub deadline_ms: i64,
     pub body_bytes: usize,
-    pub attempts: Vec<ShownAttempt<'a>>,
-    /// `given_up` or `handed_back` where its notice is under way.
+    pub attempts: Vec<AttemptView<'a>>,
+    /// `given_up` or `handed_back` once the notice of it is on its way.
     pub decided: Option<&'static str>,
 }
 
-impl<'a> From<&'a Owed> for Shown<'a> {
-    fn from(owed: &'a Owed) -> Shown<'a> {
-        let Owed { taken, attempts, ending } = owed;
-        let attempts = attempts.iter().map(|a| ShownAttempt {
+impl<'a> From<&'a PendingMessage> for MessageView<'a> {
+    fn from(message: &'a PendingMessage) -> MessageView<'a> {
+        let PendingMessage { accepted, attempts, undelivered } = message;
+        let attempts = attempts.iter().map(|a| AttemptView {
             number: a.number,
-            at_ms: a.at,
+            at_ms: a.started_at_ms,
             endpoint: &a.endpoint,
             may_have_run: !a.never_ran,
         });
-        Shown {
-            number: taken.id,
-            message: &taken.trace,
-            class: &taken.class,
-            tenant: &taken.tenant,
-            dest: taken.dest,
-            key: taken.key.as_deref(),
-            deadline_ms: taken.end,
-            body_bytes: taken.body.len(),
+        MessageView {
+            number: accepted.id,
+            message: &accepted.trace_id,
+            class: &accepted.class,
+            tenant: &accepted.tenant,
+            dest: accepted.dest,
+            key: accepted.idempotency_key.as_deref(),
+            deadline_ms: accepted.deadline_ms,
+            body_bytes: accepted.body.len(),
             attempts: attempts.collect(),
-            decided: ending.map(|e| match e {
-                super::Ending::GivenUp => "given_up",
-                super::Ending::HandedBack(_) => "handed_back",
+            decided: undelivered.map(|u| match u {
+                Undelivered::GivenUp => "given_up",
+                Undelivered::HandedBack(_) => "handed_back",
             }),
         }
     }
--- a/src/records/payload.rs
+++ b/src/records/payload.rs
@@ -1,113 +1,126 @@
-//! The form of records in the log: a byte for the form, then MessagePack by name, then the body as it came.
-use super::{Begun, Ending, Owed, Record, Taken, MAX_NAME};
+//! The format of records in the log: a byte for the format version, then MessagePack with field names, then
+//! the body.
+use super::{AcceptedMessage, PendingMessage, Record, StartedAttempt, Undelivered, MAX_ENDPOINT_NAME};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 use store::frame::{Does, FRAME};
 
-const FORM: u8 = 1;
-/// Form, and length of what comes before the body.
+const FORMAT: u8 = 1;
+/// Bytes before the head of a message: the format, and the head's length.
 const PREFIX: usize = 5;
-/// Upper bounds in bytes, of what surrounds texts and body of a message, of one attempt with what becomes known of it,
-/// and of the records of an end.
-const AROUND: usize = 160;
-const ATTEMPT: usize = FRAME + 30 + MAX_NAME + FRAME + 16;
+/// Upper bound in bytes of a message's first record without its texts and body.
+const MESSAGE_OVERHEAD: usize = 160;
+/// Upper bound in bytes of the record of an attempt and that of it never having run.
+const ATTEMPT: usize = FRAME + 30 + MAX_ENDPOINT_NAME + FRAME + 16;
+/// Upper bound in bytes of the records of a message's end.
 const END: usize = 160;
 
+/// The head of the payload that holds a whole message.
 #[derive(Serialize, Deserialize)]
-struct Image {
+struct MessageHead {
     #[serde(rename = "m")]
-    taken: Rc<Taken>,
+    accepted: Rc<AcceptedMessage>,
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
-    attempts: Vec<Begun>,
+    attempts: Vec<StartedAttempt>,
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
-    ending: Option<Ending>,
+    undelivered: Option<Undelivered>,
 }
 
+/// The payload of a record that adds to a message.
 #[derive(Serialize, Deserialize)]
 enum Addition {
     #[serde(rename = "B")]
-    Begun(Begun),
+    AttemptStarted(StartedAttempt),
     #[serde(rename = "N")]
-    NeverRan(u32),
+    AttemptNeverRan(u32),
     #[serde(rename = "D")]
-    Decided(Ending),
+    NoticeStarted(Undelivered),
 }
 
 fn pack(value: &impl Serialize) -> Vec<u8> {
     rmp_serde::to_vec_named(value).expect("records are plain data")
 }
 
-fn texts(taken: &Taken) -> usize {
-    let key = taken.key.as_ref().map_or(0, String::len);
-    taken.class.len() + taken.tenant.len() + taken.trace.len() + key
+fn text_bytes(message: &AcceptedMessage) -> usize {
+    let key = message.idempotency_key.as_ref().map_or(0, String::len);
+    message.class.len() + message.tenant.len() + message.trace_id.len() + key
 }
 
-/// Bytes that a message may come to in the log, all of its records together.
-pub fn claim(taken: &Taken, max_attempts: usize) -> u64 {
-    (AROUND + texts(taken) + taken.body.len() + ATTEMPT * max_attempts + END) as u64
+/// Returns an upper bound in bytes of all records of a message together.
+pub fn max_log_bytes(message: &AcceptedMessage, max_attempts: usize) -> u64 {
+    (MESSAGE_OVERHEAD + text_bytes(message) + message.body.len() + ATTEMPT * max_attempts + END) as u64
 }
 
-/// Bytes of the longest payload, with a body of `body` bytes and `texts` bytes of names and ids.
-pub fn largest(body: usize, texts: usize, max_attempts: usize) -> usize {
-    AROUND + texts + body + ATTEMPT * max_attempts
+/// Returns the length of the longest payload, with a body of `body` bytes and `texts` bytes of names and ids.
+pub fn max_payload_bytes(body: usize, texts: usize, max_attempts: usize) -> usize {
+    MESSAGE_OVERHEAD + texts + body + ATTEMPT * max_attempts
 }
 
-/// All that is known of a message, as one payload.
-pub fn image(owed: &Owed) -> Vec<u8> {
-    let Owed { taken, attempts, ending } = owed;
-    let head = pack(&Image { taken: taken.clone(), attempts: attempts.clone(), ending: *ending });
-    let mut all = Vec::with_capacity(PREFIX + head.len() + taken.body.len());
-    all.push(FORM);
+/// Encodes everything that is known of a message as one payload.
+pub fn encode_message(message: &PendingMessage) -> Vec<u8> {
+    let PendingMessage { accepted, attempts, undelivered } = message;
+    let head = pack(&MessageHead {
+        accepted: accepted.clone(),
+        attempts: attempts.clone(),
+        undelivered: *undelivered,
+    });
+    let mut all = Vec::with_capacity(PREFIX + head.len() + accepted.body.len());
+    all.push(FORMAT);
     all.extend_from_slice(&(head.len() as u32).to_le_bytes());
     all.extend_from_slice(&head);
-    all.extend_from_slice(&taken.body);
+    all.extend_from_slice(&accepted.body);
     all
 }
 
-fn form(payload: &[u8]) -> Result<&[u8], String> {
+/// Checks the format byte and returns what follows it.
+fn strip_format(payload: &[u8]) -> Result<&[u8], String> {
     match payload.split_first() {
-        Some((&FORM, rest)) => Ok(rest),
-        Some((form, _)) => Err(format!("form {form} is not known")),
-        None => Err("it is empty".into()),
+        Some((&FORMAT, rest)) => Ok(rest),
+        Some((format, _)) => Err(format!("format {format} of the payload is unknown; {FORMAT} is expected")),
+        None => Err("the payload is empty".into()),
     }
 }
 
-pub fn read_image(key: u64, payload: &[u8]) -> Result<Owed, String> {
-    let rest = form(payload)?;
-    let (length, rest) = rest.split_first_chunk::<4>().ok_or("it is cut short")?;
+/// Decodes the payload of a whole message that is stored under `key`.
+pub fn decode_message(key: u64, payload: &[u8]) -> Result<PendingMessage, String> {
+    let rest = strip_format(payload)?;
+    let (length, rest) = rest.split_first_chunk::<4>().ok_or("the payload ends within its head's length")?;
     let length = u32::from_le_bytes(*length) as usize;
-    let (head, body) = rest.split_at_checked(length).ok_or("it is cut short")?;
-    let Image { taken, attempts, ending } = rmp_serde::from_slice(head).map_err(|e| e.to_string())?;
-    if taken.id != key {
-        return Err(format!("message {} stands under {key}", taken.id));
+    let (head, body) = rest.split_at_checked(length).ok_or("the payload ends within its head")?;
+    let MessageHead { accepted, attempts, undelivered } =
+        rmp_serde::from_slice(head).map_err(|e| e.to_string())?;
+    if accepted.id != key {
+        return Err(format!("message {} is stored under {key}", accepted.id));
     }
-    let taken = Taken { body: Bytes::copy_from_slice(body), ..Rc::unwrap_or_clone(taken) };
-    Ok(Owed { taken: Rc::new(taken), attempts, ending })
+    let accepted = AcceptedMessage { body: Bytes::copy_from_slice(body), ..Rc::unwrap_or_clone(accepted) };
+    Ok(PendingMessage { accepted: Rc::new(accepted), attempts, undelivered })
 }
 
-pub fn read_addition(key: u64, payload: &[u8]) -> Result<Record, String> {
-    let addition = rmp_serde::from_slice(form(payload)?).map_err(|e| e.to_string())?;
+/// Decodes the payload of a record that adds to the message with the number `key`.
+pub fn decode_addition(key: u64, payload: &[u8]) -> Result<Record, String> {
+    let addition = rmp_serde::from_slice(strip_format(payload)?).map_err(|e| e.to_string())?;
     Ok(match addition {
-        Addition::Begun(begun) => Record::Begun(key, begun),
-        Addition::NeverRan(number) => Record::NeverRan(key, number),
-        Addition::Decided(ending) => Record::Decided(key, ending),
+        Addition::AttemptStarted(attempt) => Record::AttemptStarted(key, attempt),
+        Addition::AttemptNeverRan(number) => Record::AttemptNeverRan(key, number),
+        Addition::NoticeStarted(undelivered) => Record::NoticeStarted(key, undelivered),
     })
 }
 
-/// What a record does to its message, and its payload.
-pub fn write(record: &Record) -> (Does, Vec<u8>) {
+/// Encodes a record: what it does to its message in the log, and its payload.
+pub fn encode_record(record: &Record) -> (Does, Vec<u8>) {
     let addition = match record {
-        Record::Taken(taken) => {
-            let owed = Owed { taken: taken.clone(), attempts: Vec::new(), ending: None };
-            return (Does::Begin, image(&owed));
+        Record::Accepted(accepted) => {
+            let message =
+                PendingMessage { accepted: accepted.clone(), attempts: Vec::new(), undelivered: None };
+            return (Does::Begin, encode_message(&message));
         }
         Record::Ended(_) => return (Does::End, Vec::new()),
-        Record::Begun(_, begun) => Addition::Begun(begun.clone()),
-        Record::NeverRan(_, number) => Addition::NeverRan(*number),
-        Record::Decided(_, ending) => Addition::Decided(*ending),
+        Record::AttemptStarted(_, attempt) => Addition::AttemptStarted(attempt.clone()),
+        Record::AttemptNeverRan(_, number) => Addition::AttemptNeverRan(*number),
+        Record::NoticeStarted(_, undelivered) => Addition::NoticeStarted(*undelivered),
     };
-    let mut all = vec![FORM];
+    let mut all = vec![FORMAT];
     all.extend_from_slice(&pack(&addition));
     (Does::Add, all)
 }
@@ -116,37 +129,54 @@
 mod tests {
     use super::*;
 
-    /// The longest of everything stays within what was claimed and allowed for it.
+    /// A message with the longest value in every field stays within the bounds that space is reserved by.
     #[test]
-    fn a_message_never_comes_to_more_than_its_claim() {
+    fn records_of_longest_message_stay_within_bounds() {
         let text = |length: usize| "\u{1}".repeat(length);
-        let taken = Taken {
+        let accepted = AcceptedMessage {
             id: u64::MAX,
             class: text(256),
             tenant: text(256),
             dest: u64::MAX,
-            trace: text(256),
-            key: Some(text(256)),
-            end: i64::MIN,
+            trace_id: text(256),
+            idempotency_key: Some(text(256)),
+            deadline_ms: i64::MIN,
             body: Bytes::from(vec![0xFF; 64 << 10]),
         };
         for attempts in [0, 1, 3, 1_000] {
-            let mut owed = Owed { taken: Rc::new(taken.clone()), attempts: Vec::new(), ending: None };
-            let mut records = vec![Record::Taken(owed.taken.clone())];
+            let mut message = PendingMessage {
+                accepted: Rc::new(accepted.clone()),
+                attempts: Vec::new(),
+                undelivered: None,
+            };
+            let mut records = vec![Record::Accepted(message.accepted.clone())];
             for number in u32::MAX - attempts..u32::MAX {
-                let begun = Begun { number, at: i64::MIN, endpoint: text(MAX_NAME), never_ran: true };
-                owed.attempts.push(begun.clone());
-                records.push(Record::Begun(u64::MAX, Begun { never_ran: false, ..begun }));
-                records.push(Record::NeverRan(u64::MAX, number));
+                let attempt = StartedAttempt {
+                    number,
+                    started_at_ms: i64::MIN,
+                    endpoint: text(MAX_ENDPOINT_NAME),
+                    never_ran: true,
+                };
+                message.attempts.push(attempt.clone());
+                records
+                    .push(Record::AttemptStarted(u64::MAX, StartedAttempt { never_ran: false, ..attempt }));
+                records.push(Record::AttemptNeverRan(u64::MAX, number));
             }
-            owed.ending = Some(Ending::HandedBack(Some(u64::MAX)));
-            records.push(Record::Decided(u64::MAX, Ending::HandedBack(Some(u64::MAX))));
+            message.undelivered = Some(Undelivered::HandedBack(Some(u64::MAX)));
+            records.push(Record::NoticeStarted(u64::MAX, Undelivered::HandedBack(Some(u64::MAX))));
             records.push(Record::Ended(u64::MAX));
-            let written: usize = records.iter().map(|r| FRAME + write(r).1.len()).sum();
-            assert!(written as u64 <= claim(&taken, attempts as usize), "{attempts} attempts: {written}");
-            let image = image(&owed);
-            assert!(image.len() <= largest(64 << 10, 4 * 256, attempts as usize), "{}", image.len());
-            assert_eq!(read_image(u64::MAX, &image).unwrap(), owed);
+            let written: usize = records.iter().map(|r| FRAME + encode_record(r).1.len()).sum();
+            assert!(
+                written as u64 <= max_log_bytes(&accepted, attempts as usize),
+                "{attempts} attempts: {written}"
+            );
+            let encoded = encode_message(&message);
+            assert!(
+                encoded.len() <= max_payload_bytes(64 << 10, 4 * 256, attempts as usize),
+                "{}",
+                encoded.len()
+            );
+            assert_eq!(decode_message(u64::MAX, &encoded).unwrap(), message);
         }
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! A small stand for the module: settings, one sender, and the actions of its last call.
+//! A small harness for the module: settings, one sender, and the actions of its last call.
 #![allow(dead_code)]
 use sender::api::*;
 use sender::policy::Sender;
 
-pub const T0: Ns = 1_000 * SECOND;
+pub const START_TIME: Ns = 1_000 * SECOND;
 
 pub fn class(effect: Effect) -> Class {
     Class {
@@ -54,49 +54,49 @@
     Message { id, class, dest, time_left, cost: 0, key: None, tenant: 0 }
 }
 
-pub fn end(id: MsgId, attempt: u32, endpoint: EndpointId, outcome: Outcome) -> AttemptEnd {
+pub fn attempt_end(id: MsgId, attempt: u32, endpoint: EndpointId, outcome: Outcome) -> AttemptEnd {
     let took = 100 * MS;
     let done = outcome == Outcome::Served;
     AttemptEnd { id, attempt, endpoint, outcome, took, done, retry_after: 0, report: None }
 }
 
-pub struct Stand {
+pub struct Harness {
     pub sender: Sender,
     pub now: Ns,
     pub actions: Vec<Action>,
 }
 
-impl Stand {
-    pub fn new(settings: Settings, entries: &[Entry]) -> Stand {
-        let mut stand = Stand { sender: Sender::new(settings, 7), now: T0, actions: Vec::new() };
-        stand.give(vec![Event::List { whole: true, entries: entries.to_vec() }]);
-        stand
+impl Harness {
+    pub fn new(settings: Settings, entries: &[Entry]) -> Harness {
+        let mut harness = Harness { sender: Sender::new(settings, 7), now: START_TIME, actions: Vec::new() };
+        harness.handle(vec![Event::List { whole: true, entries: entries.to_vec() }]);
+        harness
     }
 
-    pub fn give(&mut self, events: Vec<Event>) -> Vec<Action> {
+    pub fn handle(&mut self, events: Vec<Event>) -> Vec<Action> {
         self.actions.clear();
         self.sender.handle(self.now, &events, &mut self.actions);
         self.actions.clone()
     }
 
     /// Lets time pass in ticks, collecting all actions with their times.
-    pub fn pass(&mut self, span: Ns) -> Vec<(Ns, Action)> {
+    pub fn advance(&mut self, span: Ns) -> Vec<(Ns, Action)> {
         let until = self.now + span;
         let mut all = Vec::new();
         while self.now < until {
             self.now += 5 * MS;
             let now = self.now;
-            all.extend(self.give(vec![Event::Timer]).into_iter().map(|a| (now, a)));
+            all.extend(self.handle(vec![Event::Timer]).into_iter().map(|a| (now, a)));
         }
         all
     }
 
-    pub fn take(&mut self, message: Message) -> Vec<Action> {
-        self.give(vec![Event::Message(message)])
+    pub fn submit(&mut self, message: Message) -> Vec<Action> {
+        self.handle(vec![Event::Message(message)])
     }
 
-    pub fn end(&mut self, e: AttemptEnd) -> Vec<Action> {
-        self.give(vec![Event::AttemptEnd(e)])
+    pub fn end_attempt(&mut self, e: AttemptEnd) -> Vec<Action> {
+        self.handle(vec![Event::AttemptEnd(e)])
     }
 }
 
@@ -108,10 +108,10 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn finals(actions: &[Action]) -> Vec<Action> {
+pub fn final_actions(actions: &[Action]) -> Vec<Action> {
     actions.iter().copied().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).collect()
 }
 
-pub fn plain(timed: &[(Ns, Action)]) -> Vec<Action> {
+pub fn without_times(timed: &[(Ns, Action)]) -> Vec<Action> {
     timed.iter().map(|&(_, a)| a).collect()
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -23,7 +23,7 @@
     let listed: Vec<Value> =
         (0..).zip(&endpoints).map(|(dest, peer)| ready(&format!("e-{dest}"), peer.address, dest)).collect();
     let discovery = Discovery::new(json!(listed));
-    let node = Node::with(&discovery, json!(listed), few_descriptors);
+    let node = Node::start_with(&discovery, json!(listed), few_descriptors);
     node.limit_descriptors(DESCRIPTORS);
     (node, endpoints)
 }
@@ -55,7 +55,9 @@
         assert_eq!(deliver(&node, endpoint, dest, &format!("first-{dest}")).connection, 0);
         settle();
         let used = dest as usize + 1;
-        node.until("room is made for no more than is needed", || open(&endpoints) == used.min(CONNECTIONS));
+        node.wait_until("room is made for no more than is needed", || {
+            open(&endpoints) == used.min(CONNECTIONS)
+        });
         let kept = used.saturating_sub(CONNECTIONS);
         let closed: Vec<usize> = (0..used).filter(|&e| endpoints[e].has_ended(0)).collect();
         assert_eq!(closed, (0..kept).collect::<Vec<_>>(), "those that stood idle longest are closed");
@@ -88,7 +90,7 @@
             endpoint.wait_for(&id(dest), 1);
         }
         // An endpoint sees the end of a connection a little later than the sender.
-        node.until("no more are open than may be", || open(&endpoints) <= CONNECTIONS);
+        node.wait_until("no more are open than may be", || open(&endpoints) <= CONNECTIONS);
     }
     for (dest, endpoint) in endpoints.iter().enumerate() {
         assert_eq!(endpoint.seen().len(), 3, "destination {dest} got each message once");
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -10,7 +10,7 @@
 
 fn connect(node: &Node) -> TcpStream {
     let stream = TcpStream::connect(node.address).unwrap();
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream
 }
 
@@ -19,7 +19,7 @@
     let mut stream = connect(node);
     stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
     let answer = read_message(&mut BufReader::new(stream.try_clone().unwrap()), 0).unwrap();
-    assert!(answer.first.contains(" 200 "), "{}", answer.first);
+    assert!(answer.start_line.contains(" 200 "), "{}", answer.start_line);
     stream
 }
 
@@ -43,7 +43,7 @@
 #[test]
 fn a_request_half_read_at_the_shutdown_is_answered_while_who_comes_later_is_refused() {
     let endpoint = held();
-    let (_discovery, mut node) = one_endpoint(&endpoint);
+    let (_discovery, mut node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "out", 7, 16_000, b"x"), 202);
     endpoint.wait_for("out", 1);
     // One on a connection that rested, and one on a connection's first request.
@@ -58,11 +58,15 @@
     let rests = resting(&node);
     node.terminate();
     ended(&rests);
-    node.until("the door is closed", || TcpStream::connect(node.address).is_err());
+    node.wait_until("the door is closed", || TcpStream::connect(node.address).is_err());
     for (mut stream, rest) in halves {
         stream.write_all(&rest).unwrap();
         let answer = answer_on(&stream).expect("an answer to what was read in part");
-        assert!(answer.first.contains(" 202 ") || answer.first.contains(" 503 "), "{}", answer.first);
+        assert!(
+            answer.start_line.contains(" 202 ") || answer.start_line.contains(" 503 "),
+            "{}",
+            answer.start_line
+        );
         assert_eq!(
             answer.headers.get("connection").map(String::as_str),
             Some("close"),
@@ -77,7 +81,7 @@
 #[test]
 fn a_request_that_crosses_the_end_of_a_resting_connection_is_not_acted_on() {
     let endpoint = Peer::new(|_| ok());
-    let (discovery, mut node) = one_endpoint(&endpoint);
+    let (discovery, mut node) = start_with_one_endpoint(&endpoint);
     let mut rests = resting(&node);
     node.terminate();
     ended(&rests);
@@ -86,7 +90,7 @@
     assert!(node.wait_exit().success());
     assert!(answer_on(&rests).is_none());
     node.restart();
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
     assert!(endpoint.seen().iter().all(|r| r.id() != "crossed"));
     assert!(discovery.notices().is_empty());
 }
@@ -96,11 +100,11 @@
     let endpoint = held();
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
     let control = free_address();
-    let mut node = Node::with(&discovery, json!([]), |c| c["control"] = json!(control.to_string()));
+    let mut node = Node::start_with(&discovery, json!([]), |c| c["control"] = json!(control.to_string()));
     assert_eq!(node.hand_in("order", "out", 7, 16_000, b"x"), 202);
     endpoint.wait_for("out", 1);
     node.terminate();
-    node.until("the sender knows", || call_at(control, "GET /healthcheck") == Some(503));
+    node.wait_until("the sender knows", || control_call(control, "GET /healthcheck") == Some(503));
     // Paused over the moment in which it stops accepting: both are due when it goes on.
     node.pause();
     let waiting: Vec<TcpStream> = (0..12)
@@ -111,10 +115,14 @@
         })
         .collect();
     std::thread::sleep(Duration::from_millis(700));
-    node.go_on();
+    node.resume();
     for stream in &waiting {
         let answer = answer_on(stream).expect("an answer");
-        assert!(answer.first.contains(" 202 ") || answer.first.contains(" 503 "), "{}", answer.first);
+        assert!(
+            answer.start_line.contains(" 202 ") || answer.start_line.contains(" 503 "),
+            "{}",
+            answer.start_line
+        );
     }
     assert!(node.wait_exit().success(), "{}", node.log());
 }
@@ -122,7 +130,7 @@
 #[test]
 fn an_answer_reaches_a_client_that_had_not_sent_all_when_it_was_given() {
     let endpoint = Peer::new(|_| ok());
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let mut stream = connect(&node);
     let size = 512 << 10;
     let head = format!("POST /alert HTTP/1.1\r\nHost: x\r\nContent-Length: {size}\r\n\r\n");
@@ -133,14 +141,14 @@
         stream.write_all(part).expect("the connection is not reset");
     }
     let answer = answer_on(&stream).expect("an answer");
-    assert!(answer.first.contains(" 413 "), "{}", answer.first);
+    assert!(answer.start_line.contains(" 413 "), "{}", answer.start_line);
     ended(&stream);
 }
 
 #[test]
 fn a_flood_of_what_nobody_wants_is_cut_off() {
     let endpoint = Peer::new(|_| ok());
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let mut stream = connect(&node);
     stream.write_all(b"POST /alert HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999999\r\n\r\n").unwrap();
     let chunk = vec![b'x'; 64 << 10];
@@ -153,14 +161,14 @@
 #[test]
 fn a_notice_whose_connection_has_fallen_silent_is_told_in_time_on_another_one() {
     let endpoint = Peer::new(|_| ok());
-    let (discovery, node) = one_endpoint(&endpoint);
+    let (discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "before", 8, 300, b"x"), 202);
-    discovery.wait_notice("before");
+    discovery.wait_for_notice("before");
     let posts = |seen: &[Request]| {
-        seen.iter().filter(|r| r.first.starts_with("POST /reports ")).cloned().collect::<Vec<_>>()
+        seen.iter().filter(|r| r.start_line.starts_with("POST /reports ")).cloned().collect::<Vec<_>>()
     };
     let silent = posts(&discovery.peer.seen())[0].connection;
-    discovery.peer.also(move |r| (r.connection == silent).then_some(Reply::Hang));
+    discovery.peer.add_script(move |r| (r.connection == silent).then_some(Reply::Hang));
     assert_eq!(node.hand_in("order", "after", 8, 300, b"x"), 202);
     let seen = discovery.peer.wait("the notice to come again", |seen| posts(seen).len() >= 3);
     let posts = posts(&seen);
@@ -173,7 +181,7 @@
 
 /// Calls for lists, in their order.
 fn lists(seen: &[Request]) -> Vec<Request> {
-    seen.iter().filter(|r| r.first.contains("/v1/servers")).cloned().collect()
+    seen.iter().filter(|r| r.start_line.contains("/v1/servers")).cloned().collect()
 }
 
 fn large_fleet(config: &mut Value) {
@@ -189,41 +197,45 @@
     // Each way to fail, in a row: turned away, broken off in the middle of a list, torn, closed without a word.
     let fail = |n: usize| match n % 4 {
         0 => answer("503 Busy", "", ""),
-        1 => Reply::Last("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"generation\"".into()),
+        1 => Reply::BytesThenClose("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"generation\"".into()),
         2 => answer("200 OK", "", "{\"generation\": 2, \"res"),
         _ => Reply::Close,
     };
     let failed = AtomicUsize::new(0);
-    discovery.peer.also(move |r| {
-        let watch = r.first.contains("/v1/servers") && !r.first.contains("wait=0 ");
+    discovery.peer.add_script(move |r| {
+        let watch = r.start_line.contains("/v1/servers") && !r.start_line.contains("wait=0 ");
         let count = failed.load(Ordering::SeqCst);
         // From the first watch on.
-        if !(watch || (1..8).contains(&count)) || count >= 8 || r.first.starts_with("POST") {
+        if !(watch || (1..8).contains(&count)) || count >= 8 || r.start_line.starts_with("POST") {
             return None;
         }
         failed.fetch_add(1, Ordering::SeqCst);
         Some(fail(count))
     });
-    let _node = Node::with(&discovery, known, large_fleet);
+    let _node = Node::start_with(&discovery, known, large_fleet);
     let seen = discovery.peer.wait("ten calls for lists", |seen| lists(seen).len() >= 10);
     let calls = lists(&seen);
     for (i, pair) in calls[1..].windows(2).enumerate() {
         // Told 6 s later; 2.5 s of them may go on a call that is given up, so what is left is for the pause.
         let pause = pair[1].at - pair[0].at;
         assert!(pause <= Duration::from_millis(3_400), "{i}: {pause:?}");
-        assert!(pair[1].first.contains("wait=0 "), "{i}: asked for, not waited for: {}", pair[1].first);
+        assert!(
+            pair[1].start_line.contains("wait=0 "),
+            "{i}: asked for, not waited for: {}",
+            pair[1].start_line
+        );
     }
 }
 
 #[test]
 fn changes_that_come_where_the_whole_list_is_asked_for_are_not_asked_for_in_a_rush() {
     let discovery = Discovery::new(json!([]));
-    discovery.peer.also(|r| {
-        let whole = r.first.contains("/v1/servers ");
+    discovery.peer.add_script(|r| {
+        let whole = r.start_line.contains("/v1/servers ");
         whole.then(|| answer("200 OK", "", r#"{"generation": 3, "reset": false, "instances": []}"#))
     });
-    let node = Node::started(&discovery, json!([]), large_fleet);
-    node.until("it listens", || node.health().is_some());
+    let node = Node::launch_with(&discovery, json!([]), large_fleet);
+    node.wait_until("it listens", || node.health().is_some());
     // It never gets a list that it can use, so that nobody is to use it.
     assert_eq!(node.health(), Some(503));
     let calls = lists(&discovery.peer.wait("seven calls for lists", |seen| lists(seen).len() >= 7));
@@ -241,7 +253,7 @@
     let discovery = Discovery::new(json!(listed));
     let control = free_address();
     for sockets in [64, 256] {
-        let node = Node::with(&discovery, json!(listed), |c| {
+        let node = Node::start_with(&discovery, json!(listed), |c| {
             c["limits"]["sockets"] = json!(sockets);
             c["control"] = json!(control.to_string());
         });
@@ -266,12 +278,12 @@
         }
         // A message that has no place to go is told of while discovery is down.
         assert_eq!(node.hand_in("order", &format!("nowhere-{sockets}"), 99, 300, b"x"), 202);
-        assert_eq!(discovery.wait_notice(&format!("nowhere-{sockets}"))["outcome"], "handed_back");
-        assert_eq!(call_at(control, "PUT /endpoints/e-0/maint"), Some(200));
+        assert_eq!(discovery.wait_for_notice(&format!("nowhere-{sockets}"))["outcome"], "handed_back");
+        assert_eq!(control_call(control, "PUT /endpoints/e-0/maint"), Some(200));
         // Discovery is back, with one more.
         let mut all = listed.clone();
         all.push(ready("new", new.address, 50));
-        discovery.speak();
+        discovery.answer_again();
         discovery.set(json!(all));
         let id = format!("back-{sockets}");
         assert_eq!(node.hand_in("alert", &id, 50, 16_000, b"x"), 202);
@@ -286,7 +298,7 @@
 #[test]
 fn a_call_whose_answer_hangs_or_never_ends_is_over_in_time() {
     let endless = || "X-More: and more\r\n".repeat(100_000);
-    let rows: [(Row, bool); 4] = [
+    let rows: [(ReplyCase, bool); 4] = [
         (("half a status line", || Reply::Bytes("HTTP/1.1 50".into())), false),
         (("half of the headers", || Reply::Bytes("HTTP/1.1 500 Error\r\nContent-".into())), false),
         // Known for delivered as its time is up: a notice goes out too.
@@ -300,30 +312,30 @@
     ];
     for ((row, reply), in_time) in rows {
         let endpoint = Peer::new(move |r| if r.id() == "m" { reply() } else { ok() });
-        let (discovery, node) = one_endpoint(&endpoint);
+        let (discovery, node) = start_with_one_endpoint(&endpoint);
         assert_eq!(node.hand_in("order", "m", 7, 900, b"x"), 202);
         let call = endpoint.wait_for("m", 1).remove(0);
         // It holds no slot and no connection any longer than that.
-        node.until("the call is over", || endpoint.has_ended(call.connection));
+        node.wait_until("the call is over", || endpoint.has_ended(call.connection));
         assert_eq!(node.hand_in("order", "next", 7, 16_000, b"x"), 202);
         endpoint.wait_for("next", 1);
         if !in_time {
-            assert_eq!(discovery.wait_notice("m")["outcome"], "given_up", "{row}");
+            assert_eq!(discovery.wait_for_notice("m")["outcome"], "given_up", "{row}");
         }
         assert_eq!(endpoint.wait_for("m", 1).len(), 1, "{row}: it may have run");
         // Whatever goes to the platform goes in turn.
         assert_eq!(node.hand_in("order", "last", 9, 300, b"x"), 202);
-        discovery.wait_notice("last");
+        discovery.wait_for_notice("last");
         assert_eq!(discovery.notices().iter().all(|n| n["message"] != "m"), in_time, "{row}");
     }
     let endpoint = Peer::new(move |r| match r.id() {
         "m" => Reply::Bytes(format!("HTTP/1.1 500 Error\r\n{}", endless())),
         _ => ok(),
     });
-    let (discovery, node) = one_endpoint(&endpoint);
+    let (discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
     // Long before its time: headers are not read without end.
-    assert_eq!(discovery.wait_notice("m")["outcome"], "given_up");
+    assert_eq!(discovery.wait_for_notice("m")["outcome"], "given_up");
     assert_eq!(node.hand_in("order", "next", 7, 16_000, b"x"), 202);
     endpoint.wait_for("next", 1);
 }
@@ -334,7 +346,7 @@
         "first" => Reply::Bytes("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 4".into()),
         _ => ok(),
     });
-    let (discovery, node) = one_endpoint(&endpoint);
+    let (discovery, node) = start_with_one_endpoint(&endpoint);
     for round in 0..5 {
         assert_eq!(node.hand_in("order", "first", 7, 16_000, b"x"), 202);
         let first = endpoint.wait_for("first", round + 1).remove(round);
@@ -369,7 +381,7 @@
 #[test]
 fn requests_that_lie_of_their_length_or_break_off_are_not_taken_on_and_hold_nobody_up() {
     let endpoint = Peer::new(|_| ok());
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let whole = String::from_utf8(message("alert", "lies", 7, 9_000, b"body")).unwrap();
     let longer = whole.replace("Content-Length: 4", "Content-Length: 400");
     let signed = whole.replace("Content-Length: 4", "Content-Length: -4");
@@ -400,19 +412,19 @@
 #[test]
 fn a_200_so_close_to_the_end_of_its_message_s_time_does_not_stand_for_the_notice() {
     let endpoint = Peer::new(|_| ok());
-    let (discovery, mut node) = one_endpoint(&endpoint);
+    let (discovery, mut node) = start_with_one_endpoint(&endpoint);
     // Its client may have waited 400 ms to be told that it is taken on: its time may be up when this is answered.
     assert_eq!(node.hand_in("order", "close", 7, 350, b"x"), 202);
     endpoint.wait_for("close", 1);
-    assert_eq!(discovery.wait_notice("close")["outcome"], "given_up");
+    assert_eq!(discovery.wait_for_notice("close")["outcome"], "given_up");
     assert_eq!(node.hand_in("order", "in time", 7, 16_000, b"x"), 202);
     endpoint.wait_for("in time", 1);
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
     // Both are over for the next process as well.
     node.kill();
     node.restart();
     assert_eq!(node.hand_in("order", "last", 9, 300, b"x"), 202);
-    discovery.wait_notice("last");
+    discovery.wait_for_notice("last");
     for id in ["close", "in time"] {
         assert_eq!(endpoint.wait_for(id, 1).len(), 1, "{id}");
     }
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -113,7 +113,7 @@
 /// force does not name its destination.
 fn not_served(node: &Node, discovery: &LargeDiscovery, id: &str, destination: u64) {
     match node.hand_in("order", id, destination, 600, b"x") {
-        202 => assert_eq!(discovery.wait_notice(id).1["outcome"], "handed_back", "{id}"),
+        202 => assert_eq!(discovery.wait_for_notice(id).1["outcome"], "handed_back", "{id}"),
         status => assert_eq!(status, 503, "{id}: {}", node.log()),
     }
 }
@@ -173,7 +173,7 @@
 fn exits_in_time(node: &mut Node, stalls: &Stalls) {
     let told = Instant::now();
     node.terminate();
-    let until = told + BOUND;
+    let until = told + TIMEOUT;
     while node.is_running() {
         assert!(Instant::now() < until, "it never ends: {}", node.log());
         std::thread::sleep(Duration::from_millis(5));
@@ -193,7 +193,7 @@
 
 /// Whatever took a list in has ended with it.
 fn no_thread_is_left(node: &Node) {
-    node.until("one thread is left", || node.threads() == 1);
+    node.wait_until("one thread is left", || node.threads() == 1);
 }
 
 /// What an endpoint was sent, each message once, but for those that settle.
@@ -289,8 +289,8 @@
             known(config, &listed(&old));
         });
         node.launch();
-        node.until("it answers", || node.health().is_some());
-        node.until("the list is refused", || !refusals(&node, &case.allowed).is_empty());
+        node.wait_until("it answers", || node.health().is_some());
+        node.wait_until("the list is refused", || !refusals(&node, &case.allowed).is_empty());
         Refused { case, node, discovery, old, new, trap, fits }
     }
 
@@ -324,7 +324,7 @@
         let Refused { node, discovery, old, new, trap, fits, .. } = self;
         discovery.replace(6, fits);
         discovery.wait_watch(6);
-        node.until("it is healthy", || node.health() == Some(200));
+        node.wait_until("it is healthy", || node.health() == Some(200));
         delivered(&node, &new, "fits", 8);
         not_served(&node, &discovery, "withdrawn", 7);
         assert!(trap.seen().is_empty(), "{:?}", trap.seen());
@@ -373,11 +373,11 @@
     });
     node.launch();
     discovery.wait_held();
-    node.until("it answers", || node.health().is_some());
+    node.wait_until("it answers", || node.health().is_some());
     assert_eq!(node.health(), Some(503));
     assert_eq!(refusals(&node, &case.allowed).len(), 1, "{}", node.log());
     gate.open();
-    node.until("it is healthy", || node.health() == Some(200));
+    node.wait_until("it is healthy", || node.health() == Some(200));
     delivered(&node, &endpoint, "m", 7);
     // Changes since a list that it does not have would be of no use.
     let first = &discovery.asked()[0];
@@ -398,7 +398,7 @@
     let more = (0..20).map(|i| ready(&format!("more-{i}"), trap.address, 2_000_000 + i));
     let gone = instance("o-2", old.address, 9, "plain", "Gone");
     discovery.change([ready("n-1", new.address, 8), gone].into_iter().chain(more).collect());
-    node.until("it is refused", || !refusals(&node, &case.allowed).is_empty());
+    node.wait_until("it is refused", || !refusals(&node, &case.allowed).is_empty());
     assert_eq!(refusals(&node, &case.allowed).len(), 1, "{}", node.log());
     assert_eq!(node.health(), Some(200));
     delivered(&node, &old, "still", 7);
@@ -420,11 +420,11 @@
     let moved_to = LargeDiscovery::new(3, body(3, &fits));
     let mut node = Node::prepare(old.address, json!([]), |config| case.configure(config));
     node.launch();
-    node.until("it is refused", || !refusals(&node, &case.allowed).is_empty());
+    node.wait_until("it is refused", || !refusals(&node, &case.allowed).is_empty());
     node.config["discovery"] = json!(moved_to.address.to_string());
     std::fs::write(node.folder.join("config.json"), node.config.to_string()).unwrap();
-    node.hang_up();
-    node.until("it is healthy", || node.health() == Some(200));
+    node.reload();
+    node.wait_until("it is healthy", || node.health() == Some(200));
     delivered(&node, &endpoint, "m", 7);
     // Far sooner than the old one would have been asked again.
     assert_eq!((old.wholes().len(), moved_to.wholes().len()), (1, 1));
@@ -579,10 +579,10 @@
     let mut node = Node::prepare(discovery.address, json!([]), |_| {});
     node.launch();
     discovery.wait_held();
-    node.until("it answers", || node.health().is_some());
+    node.wait_until("it answers", || node.health().is_some());
     assert_eq!(node.health(), Some(503));
     gate.open();
-    node.until("it is healthy", || node.health() == Some(200));
+    node.wait_until("it is healthy", || node.health() == Some(200));
     delivered(&node, &endpoint, "whole", 7);
     assert!(trap.seen().is_empty());
 }
@@ -668,7 +668,7 @@
     let discovery = LargeDiscovery::new(MOST, text.into_bytes());
     let mut node = Node::prepare(discovery.address, json!([]), with_control);
     node.launch();
-    node.until("it is healthy", || node.health() == Some(200));
+    node.wait_until("it is healthy", || node.health() == Some(200));
     discovery.wait_watch(MOST);
     delivered(&node, &endpoint, "largest number", MOST);
     delivered(&node, &endpoint, "beyond ascii", 2);
@@ -678,10 +678,10 @@
     for (id, destination) in [("unreadable", 1), ("asleep", 3), ("the first of two", 5)] {
         not_served(&node, &discovery, id, destination);
     }
-    assert_eq!(node.call(&format!("PUT /endpoints/{longest}/maint")), 200);
-    assert_eq!(node.call(&format!("PUT /endpoints/{longest}n/maint")), 404);
-    assert_eq!(node.call("PUT /endpoints/bad/maint"), 404);
-    assert_eq!(node.call("PUT /endpoints/no-name/maint"), 404);
+    assert_eq!(node.control(&format!("PUT /endpoints/{longest}/maint")), 200);
+    assert_eq!(node.control(&format!("PUT /endpoints/{longest}n/maint")), 404);
+    assert_eq!(node.control("PUT /endpoints/bad/maint"), 404);
+    assert_eq!(node.control("PUT /endpoints/no-name/maint"), 404);
     not_served(&node, &discovery, "taken out", MOST);
     assert_eq!(discovery.wholes().len(), 1);
     assert!(trap.seen().is_empty(), "{:?}", trap.seen());
@@ -708,7 +708,7 @@
     };
     let mut expected: Vec<String> = (0..MESSAGES).map(|i| format!("m{i:03}")).collect();
     expected.iter().for_each(|id| taken_on(&node, id, 7, LONG_MS));
-    node.until("all are delivered", || all().len() >= MESSAGES);
+    node.wait_until("all are delivered", || all().len() >= MESSAGES);
     assert_eq!(all(), expected, "each once");
     // All but one are withdrawn by a change.
     let mut change: Vec<Value> = (1..ENDPOINTS)
@@ -788,7 +788,7 @@
     let calls = waits.seen().len();
     // The wait that was told is over by the time at which this is.
     taken_on(&node, "ends", 7, 1_500);
-    assert_eq!(discovery.wait_notice("ends").1["outcome"], "handed_back");
+    assert_eq!(discovery.wait_for_notice("ends").1["outcome"], "handed_back");
     delivered(&node, &idle, "changed before its first message", 8);
     not_served(&node, &discovery, "drained before its first message", 9);
     let generation = discovery.change(vec![ready("e-1", moved.address, 7)]);
@@ -838,7 +838,7 @@
     for i in 0..8 {
         taken_on(&node, &format!("fourth-10-{i}"), 10, LONG_MS);
     }
-    node.until("all are delivered", || one.seen().len() + fourth.seen().len() >= 3 + 3 + 8);
+    node.wait_until("all are delivered", || one.seen().len() + fourth.seen().len() >= 3 + 3 + 8);
     assert_eq!([&other, &third, &trap].map(|peer| once(peer).len()), [1, 3, 0]);
 }
 
@@ -856,7 +856,7 @@
     discovery.wait_watch(5);
     let to_each = |peer: &Peer, round: &str| {
         (0..ACTIVE).for_each(|d| taken_on(&node, &format!("{round}-{d}"), d, LONG_MS));
-        node.until("each is delivered", || peer.seen().len() as u64 >= ACTIVE);
+        node.wait_until("each is delivered", || peer.seen().len() as u64 >= ACTIVE);
         assert_eq!(once(peer).len() as u64, ACTIVE);
     };
     to_each(&old, "before");
@@ -870,18 +870,22 @@
 /// again.
 fn one_to_each(node: &Node, round: &str, destinations: impl Iterator<Item = u64>) {
     let mut stream = TcpStream::connect(node.address).unwrap();
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
-    let until = Instant::now() + BOUND;
+    let until = Instant::now() + TIMEOUT;
     for destination in destinations {
         let id = format!("{round}-{destination}");
         loop {
             stream.write_all(&message("order", &id, destination, LONG_MS, b"x")).unwrap();
             let answer = read_message(&mut reader, 0).unwrap_or_else(|| panic!("{id}: {}", node.log()));
-            if answer.first.contains(" 202 ") {
+            if answer.start_line.contains(" 202 ") {
                 break;
             }
-            assert!(answer.first.contains(" 503 ") && Instant::now() < until, "{id}: {}", answer.first);
+            assert!(
+                answer.start_line.contains(" 503 ") && Instant::now() < until,
+                "{id}: {}",
+                answer.start_line
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -936,7 +940,7 @@
     let learned = node.state().join("learned");
     let written = || std::fs::metadata(&learned).and_then(|m| m.modified()).ok();
     let before = written();
-    node.until("a snapshot since", || written() > before);
+    node.wait_until("a snapshot since", || written() > before);
     let size = std::fs::metadata(&learned).unwrap().len();
     assert!(size < 100_000, "{size} bytes for two destinations of {LARGE}");
     node.kill();
@@ -1055,7 +1059,7 @@
                 self.told.push("SIGKILL".into());
             }
             1 => {
-                self.node.hang_up();
+                self.node.reload();
                 self.told.push("SIGHUP".into());
             }
             2 => {
@@ -1078,7 +1082,7 @@
         if change == "maint" {
             self.out.insert(name.clone());
         }
-        assert_eq!(self.node.call(&format!("PUT /endpoints/{name}/{change}")), 200);
+        assert_eq!(self.node.control(&format!("PUT /endpoints/{name}/{change}")), 200);
         self.told.push(format!("{name} {change}"));
     }
 
@@ -1104,7 +1108,8 @@
             }
             let id = format!("r{round}-{destination}");
             taken_on(&self.node, &id, destination, LONG_MS);
-            self.node.until(&format!("{id} is delivered; {:?}", self.told), || !self.called(&id).is_empty());
+            self.node
+                .wait_until(&format!("{id} is delivered; {:?}", self.told), || !self.called(&id).is_empty());
             let called = self.called(&id);
             assert!(called.is_subset(&expected), "{id}: {called:?}, not {expected:?}; {:?}", self.told);
         }
@@ -1193,13 +1198,13 @@
     assert!(latest <= in_force + stalls.allowance(), "{:?} after it is in force", latest - in_force);
     delivered(&node, &new, "new", 9);
     for i in 0..5 {
-        let (at, notice) = discovery.wait_notice(&format!("h{i}"));
+        let (at, notice) = discovery.wait_for_notice(&format!("h{i}"));
         assert_eq!(notice["outcome"], "handed_back");
         let took = at - handed_in;
         assert!(took <= Duration::from_millis(LEFT_MS + 300) + BUSY, "{took:?}");
     }
     let calls = |id: &str| old.seen().iter().chain(&new.seen()).filter(|r| r.id() == id).count();
-    node.until("all are delivered", || ids.iter().all(|id| calls(id) >= 1));
+    node.wait_until("all are delivered", || ids.iter().all(|id| calls(id) >= 1));
     assert!(ids.iter().all(|id| calls(id) == 1), "some went out twice");
     assert!(discovery.notices().iter().all(|n| n["message"].as_str().unwrap().starts_with('h')));
     assert!(trap.seen().is_empty());
@@ -1221,7 +1226,7 @@
     old.wait_held();
     node.config["discovery"] = json!(moved_to.address.to_string());
     std::fs::write(node.folder.join("config.json"), node.config.to_string()).unwrap();
-    node.hang_up();
+    node.reload();
     moved_to.wait_watch(3);
     delivered(&node, &new, "new", 9);
     old.wait("the old address to be left", |asked| asked.iter().all(|a| a.is_whole() && a.left));
@@ -1326,16 +1331,16 @@
     let mut node = Node::prepare(discovery.address, json!([]), with_control);
     node.restart();
     discovery.wait_watch(5);
-    assert_eq!(node.call("PUT /endpoints/e-9/maint"), 404, "no list has named it");
-    assert_eq!(node.call("PUT /endpoints/e-1/maint"), 200);
+    assert_eq!(node.control("PUT /endpoints/e-9/maint"), 404, "no list has named it");
+    assert_eq!(node.control("PUT /endpoints/e-1/maint"), 200);
     let several = |node: &Node, peer: &Peer, round: &str, count: usize| {
         (0..count).for_each(|i| delivered(node, peer, &format!("{round}{i}"), 7));
     };
     several(&node, &other, "listed", 5);
     // The only one of a destination for which nothing has come so far.
-    assert_eq!(node.call("PUT /endpoints/e-3/maint"), 200);
+    assert_eq!(node.control("PUT /endpoints/e-3/maint"), 200);
     not_served(&node, &discovery, "out", 8);
-    assert_eq!(node.call("PUT /endpoints/e-3/ready"), 200);
+    assert_eq!(node.control("PUT /endpoints/e-3/ready"), 200);
     delivered(&node, &idle, "in", 8);
     assert_eq!(idle.seen().len(), 1);
     // A new process knows what operators told before any list names it.
@@ -1344,11 +1349,13 @@
     discovery.deliver(Delivery::until(0.5, Then::Hold(gate.clone())));
     node.launch();
     discovery.wait_held();
-    node.until("the second address answers", || call_at(node.control.unwrap(), "GET /healthcheck").is_some());
-    assert_eq!(node.call("PUT /endpoints/e-1/maint"), 200, "calls repeat safely");
-    assert_eq!(node.call("PUT /endpoints/e-2/maint"), 404, "not named yet");
+    node.wait_until("the second address answers", || {
+        control_call(node.control.unwrap(), "GET /healthcheck").is_some()
+    });
+    assert_eq!(node.control("PUT /endpoints/e-1/maint"), 200, "calls repeat safely");
+    assert_eq!(node.control("PUT /endpoints/e-2/maint"), 404, "not named yet");
     gate.open();
-    node.until("it is healthy", || node.health() == Some(200));
+    node.wait_until("it is healthy", || node.health() == Some(200));
     several(&node, &other, "named", 5);
     // It leaves the list with all others, and comes back.
     discovery.replace(6, list(&mut random, 6, std::slice::from_ref(&e2)));
@@ -1360,9 +1367,9 @@
     assert!(one.seen().is_empty(), "{:?}", one.seen());
     discovery.replace(8, list(&mut random, 8, &[e1]));
     discovery.wait_watch(8);
-    assert_eq!(node.call("GET /healthcheck"), 200, "other destinations have theirs");
+    assert_eq!(node.control("GET /healthcheck"), 200, "other destinations have theirs");
     taken_on(&node, "waits", 7, LONG_MS);
-    assert_eq!(node.call("PUT /endpoints/e-1/ready"), 200);
+    assert_eq!(node.control("PUT /endpoints/e-1/ready"), 200);
     one.wait_for("waits", 1);
     several(&node, &one, "put back", 3);
     assert!(trap.seen().is_empty());
@@ -1387,7 +1394,7 @@
         let call = called.clone();
         let slow = Peer::new(move |_| {
             call.store(true, Ordering::SeqCst);
-            let until = Instant::now() + BOUND;
+            let until = Instant::now() + TIMEOUT;
             while !wait.is_open() && Instant::now() < until {
                 std::thread::sleep(Duration::from_millis(5));
             }
@@ -1406,15 +1413,15 @@
         discovery.wait_watch(5);
         delivered(&node, &quick, "before", 2);
         taken_on(&node, "out", 1, LONG_MS);
-        node.until("the call is out", || called.load(Ordering::SeqCst));
+        node.wait_until("the call is out", || called.load(Ordering::SeqCst));
         // No list names its destination yet.
         taken_on(&node, "held", 9, LONG_MS);
-        assert_eq!(node.call("PUT /endpoints/e-5/maint"), 200);
+        assert_eq!(node.control("PUT /endpoints/e-5/maint"), 200);
         Upgraded { node, discovery, slow, quick, trap, gate, entries }
     }
 
     /// What holds once both processes are done with the handover and the new one has its list.
-    fn ends_well(mut self, mut old: Old) {
+    fn ends_well(mut self, mut old: OldProcess) {
         let generation = self.discovery.change(vec![ready("e-9", self.quick.address, 9)]);
         self.discovery.wait_watch(generation);
         self.quick.wait_for("held", 1);
@@ -1489,8 +1496,8 @@
     delivered(&up.node, &up.quick, "active", 2);
     settled(&up.node, &up.quick, 2);
     up.node.kill();
-    up.node.is_again(&old);
-    up.node.until("the old one is ready", || up.node.health() == Some(200));
+    up.node.switch_back_to(&old);
+    up.node.wait_until("the old one is ready", || up.node.health() == Some(200));
     delivered(&up.node, &up.quick, "not active", 3);
     not_served(&up.node, &up.discovery, "taken out", 5);
     let generation = up.discovery.change(vec![ready("e-9", up.quick.address, 9)]);
@@ -1503,7 +1510,7 @@
 fn an_upgrade_while_discovery_is_silent_serves_destinations_without_work_as_before() {
     let (one, other) = (Peer::new(|_| ok()), Peer::new(|_| ok()));
     let discovery = Discovery::new(json!([ready("e-1", one.address, 7), ready("e-2", other.address, 8)]));
-    let mut node = Node::with(&discovery, json!([]), with_control);
+    let mut node = Node::start_with(&discovery, json!([]), with_control);
     delivered(&node, &one, "before", 7);
     discovery.silence();
     let mut old = node.upgrade();
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -30,7 +30,7 @@
     fn takes(&mut self, now: Ns) -> bool {
         match self.counts {
             Counts::Nothing => true,
-            Counts::Shut(from, to) => !(from..to).contains(&(now - T0)),
+            Counts::Shut(from, to) => !(from..to).contains(&(now - START_TIME)),
             Counts::Rate => {
                 self.room = (self.room + (now - self.at) as f64 / 1e9 * self.limit).min(self.limit);
                 self.at = now;
@@ -60,24 +60,24 @@
 /// Every sender has a message in turn, `wanted` a second in all, and as many for the first as for ten others. Counts
 /// what comes after `from`.
 fn play(n: usize, wanted: impl Fn(Ns) -> f64, limit: f64, counts: Counts, span: Ns, from: Ns) -> Day {
-    let mut senders: Vec<Stand> = (0..n as u64)
+    let mut senders: Vec<Harness> = (0..n as u64)
         .map(|seed| {
             let cfg = Settings { sender_count: n, max_open: 10_000, ..settings() };
-            let mut stand = Stand { sender: Sender::new(cfg, seed), now: T0, actions: Vec::new() };
-            stand.give(vec![Event::List { whole: true, entries: vec![entry(1, 1, 0)] }]);
+            let mut stand = Harness { sender: Sender::new(cfg, seed), now: START_TIME, actions: Vec::new() };
+            stand.handle(vec![Event::List { whole: true, entries: vec![entry(1, 1, 0)] }]);
             stand
         })
         .collect();
-    let mut there = Destination { counts, limit, recent: VecDeque::new(), room: limit, at: T0 };
+    let mut there = Destination { counts, limit, recent: VecDeque::new(), room: limit, at: START_TIME };
     let (mut day, mut next, mut owed, mut random) =
         (Day { served: 0, refused: 0, again: Vec::new() }, 0, 0.0, 1u64);
     let mut told = vec![false; n];
     let mut answers: BTreeMap<(Ns, usize), Vec<Event>> = BTreeMap::new();
     let mut attempts = BTreeMap::<MsgId, u32>::new();
-    let mut now = T0;
-    while now < T0 + span {
+    let mut now = START_TIME;
+    while now < START_TIME + span {
         now += 20 * MS;
-        owed += wanted(now - T0) * 0.02;
+        owed += wanted(now - START_TIME) * 0.02;
         let mut given: Vec<Vec<Event>> = vec![vec![Event::Timer]; n];
         while owed >= 1.0 {
             owed -= 1.0;
@@ -91,19 +91,19 @@
         }
         for (i, (stand, events)) in senders.iter_mut().zip(given).enumerate() {
             stand.now = now;
-            for (id, endpoint) in sends(&stand.give(events)) {
+            for (id, endpoint) in sends(&stand.handle(events)) {
                 let attempt = attempts.entry(id).or_default();
                 let taken = there.takes(now);
                 if told[i] {
-                    day.again.push(now - T0);
+                    day.again.push(now - START_TIME);
                 }
                 told[i] |= !taken;
                 let outcome = if taken { Outcome::Served } else { Outcome::TurnedAway };
-                if now - T0 >= from {
+                if now - START_TIME >= from {
                     day.served += usize::from(taken);
                     day.refused += usize::from(!taken);
                 }
-                let after = AttemptEnd { took: 80 * MS, ..end(id, *attempt, endpoint, outcome) };
+                let after = AttemptEnd { took: 80 * MS, ..attempt_end(id, *attempt, endpoint, outcome) };
                 answers.entry((now + 80 * MS, i)).or_default().push(Event::AttemptEnd(after));
                 *attempt += 1;
             }
@@ -147,14 +147,14 @@
 #[test]
 fn calls_that_find_all_connections_taken_are_no_sign_of_an_outage() {
     let doubted = |outcome| {
-        let mut s = Stand::new(settings(), &[entry(1, 1, 0)]);
-        s.give((0..9).map(|i| Event::Message(message(i, 1, 1))).collect());
+        let mut s = Harness::new(settings(), &[entry(1, 1, 0)]);
+        s.handle((0..9).map(|i| Event::Message(message(i, 1, 1))).collect());
         s.now += 50 * MS;
         for id in 0..9 {
-            s.end(AttemptEnd { took: 50 * MS, done: true, ..end(id, 0, 1, outcome) });
+            s.end_attempt(AttemptEnd { took: 50 * MS, done: true, ..attempt_end(id, 0, 1, outcome) });
         }
-        s.give((20..24).map(|i| Event::Message(message(i, 1, 1))).collect());
-        sends(&plain(&s.pass(2 * SECOND))).len() < 2
+        s.handle((20..24).map(|i| Event::Message(message(i, 1, 1))).collect());
+        sends(&without_times(&s.advance(2 * SECOND))).len() < 2
     };
     assert!(doubted(Outcome::NoConnection), "single spaced trials");
     assert!(!doubted(Outcome::Crowded), "it is up");
@@ -163,15 +163,15 @@
 #[test]
 fn a_connection_is_kept_for_calls_that_are_served_often_not_for_such_as_are_tried_often() {
     let many = Settings { sender_count: 300, ..settings() };
-    let mut s = Stand::new(many, &[entry(1, 1, 0)]);
-    s.give((0..2).map(|i| Event::Message(message(i, 1, 1))).collect());
+    let mut s = Harness::new(many, &[entry(1, 1, 0)]);
+    s.handle((0..2).map(|i| Event::Message(message(i, 1, 1))).collect());
     let (mut attempt, mut closed) = (0, false);
     for n in 0..4 {
         s.now += 50 * MS;
         let outcome = if n == 3 { Outcome::Served } else { Outcome::Crowded };
-        closed = s.end(end(0, attempt, 1, outcome)).contains(&Action::Close { endpoint: 1 });
+        closed = s.end_attempt(attempt_end(0, attempt, 1, outcome)).contains(&Action::Close { endpoint: 1 });
         attempt += 1;
-        while n < 3 && !sends(&s.give(vec![Event::Timer])).contains(&(0, 1)) {
+        while n < 3 && !sends(&s.handle(vec![Event::Timer])).contains(&(0, 1)) {
             s.now += 5 * MS;
         }
     }
--- a/tests/old_state.rs
+++ b/tests/old_state.rs
@@ -30,13 +30,16 @@
 /// The answers to the calls that were out, a second after.
 fn answers_to_calls_out() -> Vec<(Ns, AttemptEnd)> {
     let answer = |&(id, endpoint): &(MsgId, EndpointId)| {
-        (T0 + 21 * SECOND, AttemptEnd { took: SECOND, ..end(id, 0, endpoint, Outcome::Served) })
+        (
+            START_TIME + 21 * SECOND,
+            AttemptEnd { took: SECOND, ..attempt_end(id, 0, endpoint, Outcome::Served) },
+        )
     };
     DENSE_CELLS_OUT.iter().map(answer).collect()
 }
 
 /// Plays traffic whose latency grows with the calls out; some calls fail, and some are out at the end.
-fn play(stand: &mut Stand, answers: &mut Vec<(Ns, AttemptEnd)>, from: MsgId, rounds: u64) -> String {
+fn play(stand: &mut Harness, answers: &mut Vec<(Ns, AttemptEnd)>, from: MsgId, rounds: u64) -> String {
     let mut text = String::new();
     for round in 0..rounds {
         stand.now += 50 * MS;
@@ -47,13 +50,16 @@
         let due = answers.iter().filter(|(at, _)| *at <= now).map(|(_, e)| Event::AttemptEnd(*e));
         events.extend(due);
         answers.retain(|(at, _)| *at > now);
-        for action in stand.give(events) {
+        for action in stand.handle(events) {
             let _ = writeln!(text, "{now} {action:?}");
             if let Action::Send { id, endpoint, .. } = action {
                 // Each message has one attempt: those that failed are taken back by their clients.
                 let outcome = if id % 29 == 0 { Outcome::ServerError } else { Outcome::Served };
                 let took = (100 + 150 * answers.len() as Ns + 7 * (id % 11) as Ns) * MS;
-                answers.push((now + took, AttemptEnd { took, done: true, ..end(id, 0, endpoint, outcome) }));
+                answers.push((
+                    now + took,
+                    AttemptEnd { took, done: true, ..attempt_end(id, 0, endpoint, outcome) },
+                ));
             }
         }
     }
@@ -64,7 +70,8 @@
 fn go_on(state: &[u8]) -> String {
     let sender: Sender = rmp_serde::from_slice(state).expect("the state is read");
     let cfg = Settings { max_open: 10_000, ..settings() };
-    let mut stand = Stand { sender: sender.after_handover(cfg), now: T0 + 20 * SECOND, actions: Vec::new() };
+    let mut stand =
+        Harness { sender: sender.after_handover(cfg), now: START_TIME + 20 * SECOND, actions: Vec::new() };
     play(&mut stand, &mut answers_to_calls_out(), 1_000, 300)
 }
 
--- a/tests/on_demand.rs
+++ b/tests/on_demand.rs
@@ -78,7 +78,7 @@
 
 /// A module whose caller looks up destinations in a directory.
 struct Driver {
-    stand: Stand,
+    stand: Harness,
     listed: Listed,
     on_demand: OnDemandList,
     events: Vec<Event>,
@@ -92,7 +92,7 @@
     }
 
     fn with_seed(cfg: Settings, listed: Listed, seed: u64) -> Driver {
-        let stand = Stand { sender: Sender::new(cfg, seed), now: T0, actions: Vec::new() };
+        let stand = Harness { sender: Sender::new(cfg, seed), now: START_TIME, actions: Vec::new() };
         let on_demand = OnDemandList::default();
         let mut driver = Driver { stand, listed, on_demand, events: Vec::new(), next: 1 << 32, crowd: CROWD };
         driver.replaced();
@@ -127,7 +127,7 @@
     }
 
     fn give(&mut self, events: Vec<Event>) -> Vec<Action> {
-        let actions = self.stand.give(events);
+        let actions = self.stand.handle(events);
         self.on_demand.events_handled();
         actions
     }
@@ -146,7 +146,7 @@
     fn call(&mut self, message: Message, outcome: Outcome) {
         let (id, endpoint) = self.take(message)[0];
         self.stand.now += 10 * MS;
-        self.end(AttemptEnd { took: 10 * MS, done: true, ..end(id, 0, endpoint, outcome) });
+        self.end(AttemptEnd { took: 10 * MS, done: true, ..attempt_end(id, 0, endpoint, outcome) });
     }
 
     /// Lets time pass in periods.
@@ -177,7 +177,7 @@
                 others.extend::<Vec<_>>(theirs);
                 let ends = mine.into_iter().map(|(id, endpoint): (MsgId, _)| AttemptEnd {
                     took: MS,
-                    ..end(id, 0, endpoint, Outcome::Served)
+                    ..attempt_end(id, 0, endpoint, Outcome::Served)
                 });
                 self.events.extend(ends.map(Event::AttemptEnd));
                 out = sends(&self.round());
@@ -258,7 +258,7 @@
     assert!(looked_up(&mut driver, 4), "it is not");
     driver.round();
     for id in [3, 4] {
-        driver.end(end(id, 0, id as EndpointId, Outcome::Served));
+        driver.end(attempt_end(id, 0, id as EndpointId, Outcome::Served));
     }
     driver.pass(IDLE_FOR - SECOND);
     assert!(driver.knows(3));
@@ -291,13 +291,13 @@
 #[test]
 fn a_caller_that_never_looks_up_has_nothing_forgotten_that_is_listed() {
     let entries: Vec<Entry> = (0..5_000).map(|e| entry(e, e.into(), 0)).collect();
-    let mut s = Stand::new(settings(), &entries);
-    s.take(message(1, 3, 0));
+    let mut s = Harness::new(settings(), &entries);
+    s.submit(message(1, 3, 0));
     s.now += 100 * MS;
-    s.end(end(1, 0, 3, Outcome::Served));
+    s.end_attempt(attempt_end(1, 0, 3, Outcome::Served));
     for _ in 0..1_000 {
         s.now += PERIOD;
-        s.give(vec![Event::Timer]);
+        s.handle(vec![Event::Timer]);
     }
     assert_eq!(s.sender.known_destinations().count(), 5_000);
 }
@@ -309,7 +309,7 @@
     assert_eq!(sent, [(1, 3)]);
     driver.press();
     assert!(driver.knows(3));
-    driver.end(AttemptEnd { took: 100 * SECOND, ..end(1, 0, 3, Outcome::Served) });
+    driver.end(AttemptEnd { took: 100 * SECOND, ..attempt_end(1, 0, 3, Outcome::Served) });
     driver.press();
     assert!(!driver.knows(3), "nothing is out any more");
 }
@@ -329,7 +329,7 @@
     while !sent.is_empty() {
         driver.stand.now += 10 * MS;
         served += sent.len() as u64;
-        let ends = sent.into_iter().map(|(id, endpoint)| end(id, 0, endpoint, Outcome::Served));
+        let ends = sent.into_iter().map(|(id, endpoint)| attempt_end(id, 0, endpoint, Outcome::Served));
         driver.events.extend(ends.map(Event::AttemptEnd));
         sent = sends(&driver.round());
     }
@@ -346,7 +346,7 @@
     driver.press();
     assert!(driver.knows(4), "endpoint 3 is its own, with a call for 3 out");
     assert!((3..5).all(|e| driver.stand.sender.knows_endpoint(e)), "it is kept whole");
-    driver.end(AttemptEnd { took: 100 * SECOND, ..end(1, 0, 3, Outcome::Served) });
+    driver.end(AttemptEnd { took: 100 * SECOND, ..attempt_end(1, 0, 3, Outcome::Served) });
     driver.press();
     assert!(!driver.knows(4) && !driver.stand.sender.knows_endpoint(3));
 }
@@ -359,7 +359,7 @@
     driver.stand.now += SECOND;
     driver.listed.remove(3);
     driver.changed(&[3]);
-    driver.end(AttemptEnd { took: SECOND, ..end(1, 0, 3, Outcome::NoAnswer) });
+    driver.end(AttemptEnd { took: SECOND, ..attempt_end(1, 0, 3, Outcome::NoAnswer) });
     driver.press();
     assert!(driver.knows(3), "the message waits for an endpoint");
     assert!(!driver.stand.sender.knows_endpoint(3));
@@ -377,7 +377,7 @@
     driver.take(message(1, 3, 0));
     let wait = 300 * SECOND;
     let over = driver.stand.now + wait;
-    driver.end(AttemptEnd { retry_after: wait, done: true, ..end(1, 0, 3, Outcome::TurnedAway) });
+    driver.end(AttemptEnd { retry_after: wait, done: true, ..attempt_end(1, 0, 3, Outcome::TurnedAway) });
     driver.press();
     assert!(driver.knows(3));
     assert!(driver.take(message(2, 3, 0)).is_empty(), "the wait is still on");
@@ -401,7 +401,12 @@
         driver.stand.now += 10 * MS;
         now = driver.stand.now;
         let report = Some(LimitReport { remaining: 0.0, limit: 1_000.0 });
-        driver.end(AttemptEnd { took: 10 * MS, done: true, report, ..end(id, 0, 3, Outcome::TurnedAway) });
+        driver.end(AttemptEnd {
+            took: 10 * MS,
+            done: true,
+            report,
+            ..attempt_end(id, 0, 3, Outcome::TurnedAway)
+        });
     }
     // The crowd is there and gone before the pause ends: eight times 100 ms at least.
     driver.stand.now += 150 * MS;
@@ -422,7 +427,7 @@
     assert_eq!(sends(&driver.round()).len(), 3);
     driver.stand.now += 10 * MS;
     for id in 1..4 {
-        driver.end(AttemptEnd { done: true, ..end(id, 0, 3, Outcome::NoConnection) });
+        driver.end(AttemptEnd { done: true, ..attempt_end(id, 0, 3, Outcome::NoConnection) });
     }
     driver.press();
     driver.pass(900 * SECOND);
@@ -443,7 +448,7 @@
     assert_eq!(sends(&driver.round()).len(), 3);
     driver.stand.now += 10 * MS;
     for id in 1..4 {
-        driver.end(AttemptEnd { done: true, ..end(id, 0, 3, Outcome::NoConnection) });
+        driver.end(AttemptEnd { done: true, ..attempt_end(id, 0, 3, Outcome::NoConnection) });
     }
     driver.stand.now += 10 * SECOND;
     driver.call(message(4, 3, 0), Outcome::Served);
@@ -454,7 +459,7 @@
     (5..15).for_each(|id| driver.message(message(id, 3, 0)));
     assert_eq!(sends(&driver.round()).len(), 1, "no burst");
     (5..15).for_each(|id| driver.events.push(Event::Withdrawn { id }));
-    driver.end(AttemptEnd { done: true, ..end(5, 0, 3, Outcome::Served) });
+    driver.end(AttemptEnd { done: true, ..attempt_end(5, 0, 3, Outcome::Served) });
     driver.pass(back + 301 * SECOND - driver.stand.now);
     driver.press();
     assert!(!driver.knows(3), "it is warm");
@@ -477,7 +482,7 @@
     (3..9).for_each(|id| driver.message(message(id, 3, 0)));
     assert_eq!(sends(&driver.round()).len(), 1, "it is cold");
     (3..9).for_each(|id| driver.events.push(Event::Withdrawn { id }));
-    driver.end(AttemptEnd { done: true, ..end(3, 0, 3, Outcome::Served) });
+    driver.end(AttemptEnd { done: true, ..attempt_end(3, 0, 3, Outcome::Served) });
     driver.pass(back + 301 * SECOND - driver.stand.now);
     driver.press();
     assert!(!driver.knows(3));
@@ -524,7 +529,7 @@
     let keyed = |id| Message { key: Some(5), ..message(id, 3, 0) };
     driver.take(keyed(1));
     let rests_until = driver.stand.now + 300 * SECOND;
-    driver.end(AttemptEnd { done: true, ..end(1, 0, 3, Outcome::NoAnswer) });
+    driver.end(AttemptEnd { done: true, ..attempt_end(1, 0, 3, Outcome::NoAnswer) });
     driver.press();
     assert!(!driver.knows(3));
     assert!(driver.stand.now < rests_until);
@@ -564,7 +569,8 @@
                     let attempt = attempts.entry(id).or_default();
                     let down = u64::from(endpoint) < DOWN;
                     let outcome = if down { Outcome::NoConnection } else { Outcome::Served };
-                    answers.push(AttemptEnd { took: 10 * MS, ..end(id, *attempt, endpoint, outcome) });
+                    answers
+                        .push(AttemptEnd { took: 10 * MS, ..attempt_end(id, *attempt, endpoint, outcome) });
                     *attempt += 1;
                     if down {
                         *failures.entry(endpoint.into()).or_default() += 1;
@@ -614,7 +620,11 @@
         driver.crowd(2 * MOST_IDLE as u64 + 500);
         assert!(driver.knows(3), "its calls are out");
         for (id, endpoint) in out {
-            driver.end(AttemptEnd { took: 20 * SECOND, done: true, ..end(id, 0, endpoint, Outcome::Served) });
+            driver.end(AttemptEnd {
+                took: 20 * SECOND,
+                done: true,
+                ..attempt_end(id, 0, endpoint, Outcome::Served)
+            });
         }
         driver.pass(400 * SECOND);
         assert!(!driver.knows(3));
@@ -633,10 +643,10 @@
     let mut answers: Vec<(Ns, usize, AttemptEnd)> = Vec::new();
     let mut attempts = BTreeMap::<MsgId, u32>::new();
     let (mut next, mut calls) = (0, Vec::new());
-    let mut now = T0;
-    while now < T0 + BACK + cfg.slow_start_window {
+    let mut now = START_TIME;
+    while now < START_TIME + BACK + cfg.slow_start_window {
         now += 20 * MS;
-        let at = now - T0;
+        let at = now - START_TIME;
         let away = (8 * SECOND..BACK).contains(&at);
         for (i, driver) in fleet.iter_mut().enumerate() {
             driver.stand.now = driver.stand.now.max(now);
@@ -666,7 +676,11 @@
                 let attempt = attempts.entry(id).or_default();
                 let took = if away { 10 * MS } else { 120 * MS };
                 let outcome = if away { outcome } else { Outcome::Served };
-                answers.push((now + took, i, AttemptEnd { took, ..end(id, *attempt, endpoint, outcome) }));
+                answers.push((
+                    now + took,
+                    i,
+                    AttemptEnd { took, ..attempt_end(id, *attempt, endpoint, outcome) },
+                ));
                 *attempt += 1;
                 calls.extend((at >= BACK).then_some(at));
             }
@@ -749,7 +763,10 @@
                     assert!(sent.insert(id), "{id} goes once");
                     assert_eq!(endpoint >= 200_000, round >= 1_000, "{endpoint} in round {round}");
                     let took = (20 + draws.below(200) as Ns) * MS;
-                    answers.push((now + took, AttemptEnd { took, ..end(id, 0, endpoint, Outcome::Served) }));
+                    answers.push((
+                        now + took,
+                        AttemptEnd { took, ..attempt_end(id, 0, endpoint, Outcome::Served) },
+                    ));
                 }
                 Action::Refuse { id, .. } | Action::Fail { id } => _ = ended.insert(id),
                 _ => {}
@@ -807,7 +824,7 @@
     assert!(batches >= (KNOWN as usize - 1) / CATCH_UP, "{batches} batches");
     assert_eq!(told.len() as u64, KNOWN);
     assert_eq!(driver.known() as u64, KNOWN, "none is forgotten for it");
-    let end = AttemptEnd { took: MS, ..end(busy, 0, 7 + MOVED, Outcome::Served) };
+    let end = AttemptEnd { took: MS, ..attempt_end(busy, 0, 7 + MOVED, Outcome::Served) };
     driver.end(end);
     // Endpoints that the list has no more are forgotten with time, and never called.
     driver.pass(2 * FORGETS);
@@ -892,7 +909,7 @@
     let sent: BTreeSet<(MsgId, EndpointId)> = sends(&driver.round()).into_iter().collect();
     assert_eq!(sent, BTreeSet::from(used.map(|dest| (10_000 + dest, dest as EndpointId + MOVED))));
     for dest in used {
-        driver.end(end(10_000 + dest, 0, dest as EndpointId + MOVED, Outcome::Served));
+        driver.end(attempt_end(10_000 + dest, 0, dest as EndpointId + MOVED, Outcome::Served));
     }
     driver.pass(2 * FORGETS);
     assert!(driver.stand.sender.known_endpoints().all(|endpoint| endpoint >= MOVED));
@@ -904,7 +921,7 @@
     (0..1_000).for_each(|dest| driver.call(message(dest, dest, 0), Outcome::Served));
     let sent = driver.take(message(2_000, 900, 0));
     assert_eq!(sent, [(2_000, 900)]);
-    let told = AttemptEnd { retry_after: 30 * SECOND, ..end(2_000, 0, 900, Outcome::TurnedAway) };
+    let told = AttemptEnd { retry_after: 30 * SECOND, ..attempt_end(2_000, 0, 900, Outcome::TurnedAway) };
     driver.end(told);
     // It is given up, and nothing is left to do there.
     driver.pass(6 * SECOND);
@@ -981,7 +998,7 @@
     // than the others has less of its limit at first.
     let cfg = Settings { rate_hints: true, ..settings() };
     let mut driver = Driver::new(cfg.clone(), listed(0));
-    let mut told = Stand::new(cfg, &[]);
+    let mut told = Harness::new(cfg, &[]);
     let mut answers: Vec<(Ns, AttemptEnd)> = Vec::new();
     let mut attempts = BTreeMap::<MsgId, u32>::new();
     let (mut ids, mut calls) = (0, 0);
@@ -1039,9 +1056,9 @@
             // When it wants to look again may differ by a rounding error.
             actions.into_iter().filter(|a| !matches!(a, Action::Timer { .. })).collect()
         };
-        let actions = decided(told.give(events));
-        assert_eq!(decided(driver.round()), actions, "at {} ms", (now - T0) / MS);
-        for action in finals(&actions) {
+        let actions = decided(told.handle(events));
+        assert_eq!(decided(driver.round()), actions, "at {} ms", (now - START_TIME) / MS);
+        for action in final_actions(&actions) {
             if let Action::Refuse { id, .. } | Action::Fail { id } = action {
                 busy.remove(&id);
             }
@@ -1057,7 +1074,7 @@
             let outcome = outcomes[draws.below(5) as usize];
             let took = (20 + draws.below(400) as Ns) * MS;
             let attempt = attempts.entry(id).or_default();
-            answers.push((now + took, AttemptEnd { took, ..end(id, *attempt, endpoint, outcome) }));
+            answers.push((now + took, AttemptEnd { took, ..attempt_end(id, *attempt, endpoint, outcome) }));
             *attempt += 1;
             calls += 1;
         }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -7,7 +7,7 @@
 
 fn with_control(discovery: &Discovery) -> Node {
     let control = free_address().to_string();
-    Node::with(discovery, json!([]), move |c| c["control"] = json!(control))
+    Node::start_with(discovery, json!([]), move |c| c["control"] = json!(control))
 }
 
 #[test]
@@ -16,9 +16,9 @@
     let both = json!([ready("e-1", one.address, 7), ready("e-2", other.address, 7)]);
     let discovery = Discovery::new(both.clone());
     let mut node = with_control(&discovery);
-    assert_eq!(node.call("GET /healthcheck"), 200);
-    assert_eq!(node.call("PUT /endpoints/e-1/maint"), 200);
-    assert_eq!(node.call("PUT /endpoints/e-1/maint"), 200, "calls repeat safely");
+    assert_eq!(node.control("GET /healthcheck"), 200);
+    assert_eq!(node.control("PUT /endpoints/e-1/maint"), 200);
+    assert_eq!(node.control("PUT /endpoints/e-1/maint"), 200, "calls repeat safely");
     let deliver = |node: &Node, peer: &Peer, id: &str| {
         assert_eq!(node.hand_in("alert", id, 7, 16_000, b"x"), 202);
         peer.wait_for(id, 1);
@@ -34,10 +34,10 @@
     several(&node, "c");
     assert!(one.seen().is_empty());
     discovery.set(json!([ready("e-1", one.address, 7)]));
-    node.until("nothing is left to deliver to", || node.call("GET /healthcheck") == 503);
-    assert_eq!(node.call("PUT /endpoints/e-1/ready"), 200);
-    assert_eq!(node.call("PUT /endpoints/e-1/ready"), 200);
-    assert_eq!(node.call("GET /healthcheck"), 200);
+    node.wait_until("nothing is left to deliver to", || node.control("GET /healthcheck") == 503);
+    assert_eq!(node.control("PUT /endpoints/e-1/ready"), 200);
+    assert_eq!(node.control("PUT /endpoints/e-1/ready"), 200);
+    assert_eq!(node.control("GET /healthcheck"), 200);
     deliver(&node, &one, "back");
 }
 
@@ -57,9 +57,9 @@
         ("POST /healthcheck", 405),
         ("GET /endpoints/e-1/maint", 405),
     ] {
-        assert_eq!(node.call(call), status, "{call}");
+        assert_eq!(node.control(call), status, "{call}");
     }
-    let status = |bytes: &str| ask(node.control.unwrap(), bytes.as_bytes()).map(|r| r.first);
+    let status = |bytes: &str| send_request(node.control.unwrap(), bytes.as_bytes()).map(|r| r.start_line);
     assert!(status("no call at all\r\n\r\n").unwrap().contains(" 400 "));
     assert!(status("PUT /endpoints/e-1/maint HTTP/1.1\r\n\r\n").unwrap().contains(" 400 "), "no Host");
     assert!(status("GET /healthcheck HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n").unwrap().contains(" 400 "));
@@ -82,7 +82,7 @@
             stream
         })
         .collect();
-    assert_eq!(node.call("GET /healthcheck"), 200);
+    assert_eq!(node.control("GET /healthcheck"), 200);
     assert!(node.descriptors() <= before + 8, "{} descriptors, {before} before", node.descriptors());
     drop(unfinished);
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
@@ -97,6 +97,6 @@
     assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
     node.terminate();
-    node.until("it says no", || node.call("GET /healthcheck") == 503);
+    node.wait_until("it says no", || node.control("GET /healthcheck") == 503);
     assert!(node.wait_exit().success());
 }
--- a/tests/peers/large_discovery.rs
+++ b/tests/peers/large_discovery.rs
@@ -1,6 +1,6 @@
 //! A discovery with large lists: each answer with a whole list is scripted, chunk by chunk, and every request is
 //! remembered with what it was answered.
-use super::peers::{read_message, Request, BOUND};
+use super::peers::{read_message, Request, TIMEOUT};
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufReader, Write};
@@ -267,7 +267,7 @@
 
     /// Waits until what was asked satisfies `enough`.
     pub fn wait(&self, what: &str, enough: impl Fn(&[Asked]) -> bool) -> Vec<Asked> {
-        let until = Instant::now() + BOUND;
+        let until = Instant::now() + TIMEOUT;
         let mut state = self.state();
         while !enough(&state.asked) {
             if Instant::now() >= until {
@@ -297,7 +297,7 @@
     }
 
     /// Waits for a message's notice; it, and when it came.
-    pub fn wait_notice(&self, id: &str) -> (Instant, Value) {
+    pub fn wait_for_notice(&self, id: &str) -> (Instant, Value) {
         let of = |asked: &[Asked]| notices(asked).into_iter().find(|(_, n)| n["message"] == id);
         of(&self.wait(&format!("a notice for {id}"), |asked| of(asked).is_some())).unwrap()
     }
@@ -318,7 +318,7 @@
 
     /// None where the connection has ended.
     fn answer(&self, request: Request, stream: &TcpStream) -> Option<()> {
-        let path = request.first.split(' ').nth(1).unwrap_or_default().to_string();
+        let path = request.start_line.split(' ').nth(1).unwrap_or_default().to_string();
         let asked = Asked {
             path: path.clone(),
             body: request.body,
@@ -334,7 +334,7 @@
             s.asked.push(asked);
             s.asked.len() - 1
         });
-        if request.first.starts_with("POST /reports ") {
+        if request.start_line.starts_with("POST /reports ") {
             self.update(number, |a| a.kind = Some(Kind::Notices));
             return self.write(number, stream, b"HTTP/1.1 204 No Content\r\n\r\n", 0);
         }
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -11,12 +11,12 @@
 use std::time::{Duration, Instant};
 
 /// Far longer than anything here takes: a bound for what would otherwise never end.
-pub const BOUND: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// One HTTP message as it was read.
 #[derive(Clone, Debug)]
 pub struct Request {
-    pub first: String,
+    pub start_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
     pub connection: usize,
@@ -34,7 +34,7 @@
     if reader.read_line(&mut line).ok()? == 0 {
         return None;
     }
-    let first = line.trim_end().to_string();
+    let start_line = line.trim_end().to_string();
     let mut headers = HashMap::new();
     loop {
         let mut line = String::new();
@@ -47,7 +47,7 @@
     let length = headers.get("content-length").map_or(0, |l| l.parse().unwrap());
     let mut body = vec![0; length];
     reader.read_exact(&mut body).ok()?;
-    Some(Request { first, headers, body, connection, at: Instant::now() })
+    Some(Request { start_line, headers, body, connection, at: Instant::now() })
 }
 
 pub fn answer(status: &str, headers: &str, body: &str) -> Reply {
@@ -62,7 +62,7 @@
 pub enum Reply {
     Bytes(String),
     /// The same, and the connection's end after it.
-    Last(String),
+    BytesThenClose(String),
     /// Ends the connection without an answer.
     Close,
     /// Never answers, and keeps the connection.
@@ -70,7 +70,7 @@
 }
 
 /// A row of an outcome table.
-pub type Row = (&'static str, fn() -> Reply);
+pub type ReplyCase = (&'static str, fn() -> Reply);
 
 type Script = Box<dyn Fn(&Request) -> Reply + Send + Sync>;
 
@@ -92,10 +92,13 @@
 
 impl Peer {
     pub fn new(script: impl Fn(&Request) -> Reply + Send + Sync + 'static) -> Peer {
-        Peer::on(TcpListener::bind("127.0.0.1:0").unwrap(), script)
+        Peer::with_listener(TcpListener::bind("127.0.0.1:0").unwrap(), script)
     }
 
-    pub fn on(listener: TcpListener, script: impl Fn(&Request) -> Reply + Send + Sync + 'static) -> Peer {
+    pub fn with_listener(
+        listener: TcpListener,
+        script: impl Fn(&Request) -> Reply + Send + Sync + 'static,
+    ) -> Peer {
         let address = listener.local_addr().unwrap();
         let shared = Arc::new(Shared {
             script: Mutex::new(Box::new(script)),
@@ -120,7 +123,7 @@
     }
 
     /// Puts a script before the one there is, for the requests that it answers.
-    pub fn also(&self, script: impl Fn(&Request) -> Option<Reply> + Send + Sync + 'static) {
+    pub fn add_script(&self, script: impl Fn(&Request) -> Option<Reply> + Send + Sync + 'static) {
         let mut held = self.shared.script.lock().unwrap();
         let old = std::mem::replace(&mut *held, Box::new(|_| Reply::Close));
         *held = Box::new(move |r| script(r).unwrap_or_else(|| old(r)));
@@ -140,7 +143,7 @@
 
     /// Waits until what was seen satisfies `enough`.
     pub fn wait(&self, what: &str, enough: impl Fn(&[Request]) -> bool) -> Vec<Request> {
-        let until = Instant::now() + BOUND;
+        let until = Instant::now() + TIMEOUT;
         let mut seen = self.shared.seen.lock().unwrap();
         while !enough(&seen) {
             assert!(Instant::now() < until, "waited in vain for {what}; seen: {seen:#?}");
@@ -161,7 +164,7 @@
     let mut writer = stream;
     while let Some(request) = read_message(&mut reader, number) {
         let reply = shared.script.lock().unwrap()(&request);
-        if let Reply::Bytes(bytes) | Reply::Last(bytes) = &reply {
+        if let Reply::Bytes(bytes) | Reply::BytesThenClose(bytes) = &reply {
             if writer.write_all(bytes.as_bytes()).is_err() {
                 break;
             }
@@ -169,7 +172,7 @@
         // Only now, so that whoever waits for a request knows that its answer is on the way.
         shared.seen.lock().unwrap().push(request);
         shared.news.notify_all();
-        if matches!(reply, Reply::Close | Reply::Last(_)) {
+        if matches!(reply, Reply::Close | Reply::BytesThenClose(_)) {
             return;
         }
     }
@@ -192,12 +195,12 @@
         let shared = state.clone();
         let peer = Peer::new(move |_| Reply::Close);
         let script = move |request: &Request| {
-            if request.first.starts_with("POST /reports ") {
+            if request.start_line.starts_with("POST /reports ") {
                 return answer("204 No Content", "", "");
             }
             let (lock, news) = &*shared;
             let mut state = lock.lock().unwrap();
-            let index = request.first.split_once("index=").and_then(|(_, r)| r.split(['&', ' ']).next());
+            let index = request.start_line.split_once("index=").and_then(|(_, r)| r.split(['&', ' ']).next());
             let index = index.and_then(|i| i.parse::<u64>().ok());
             if index.is_some_and(|i| i >= state.0) {
                 // Short, so that the peer's one script is soon free for the notices.
@@ -227,7 +230,7 @@
     }
 
     /// Lists are answered again. A call that was left without an answer stays so.
-    pub fn speak(&self) {
+    pub fn answer_again(&self) {
         self.state.0.lock().unwrap().2 = false;
     }
 
@@ -235,7 +238,7 @@
         notices(&self.peer.seen())
     }
 
-    pub fn wait_notice(&self, id: &str) -> Value {
+    pub fn wait_for_notice(&self, id: &str) -> Value {
         let of = |seen: &[Request]| notices(seen).into_iter().find(|n| n["message"] == id);
         let seen = self.peer.wait(&format!("a notice for {id}"), |s| of(s).is_some());
         of(&seen).unwrap()
@@ -243,7 +246,7 @@
 }
 
 fn notices(seen: &[Request]) -> Vec<Value> {
-    let posts = seen.iter().filter(|r| r.first.starts_with("POST /reports "));
+    let posts = seen.iter().filter(|r| r.start_line.starts_with("POST /reports "));
     let text =
         posts.flat_map(|r| String::from_utf8_lossy(&r.body).lines().map(String::from).collect::<Vec<_>>());
     text.map(|l| serde_json::from_str(&l).unwrap()).collect()
@@ -258,17 +261,18 @@
     instance(name, at, dest, "plain", "Ready")
 }
 
-pub fn ask(at: SocketAddr, bytes: &[u8]) -> Option<Request> {
+pub fn send_request(at: SocketAddr, bytes: &[u8]) -> Option<Request> {
     let mut stream = TcpStream::connect(at).ok()?;
-    stream.set_read_timeout(Some(BOUND)).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     stream.write_all(bytes).ok()?;
     read_message(&mut BufReader::new(stream), 0)
 }
 
 /// One call on a second address; its status, if it is answered.
-pub fn call_at(at: SocketAddr, call: &str) -> Option<u16> {
-    let answer = ask(at, format!("{call} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").as_bytes())?;
-    answer.first.split(' ').nth(1)?.parse().ok()
+pub fn control_call(at: SocketAddr, call: &str) -> Option<u16> {
+    let answer =
+        send_request(at, format!("{call} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").as_bytes())?;
+    answer.start_line.split(' ').nth(1)?.parse().ok()
 }
 
 /// A request that hands in a message.
@@ -285,12 +289,12 @@
 }
 
 /// The process that ran before an upgrade.
-pub struct Old {
+pub struct OldProcess {
     child: Child,
     pub control: Option<SocketAddr>,
 }
 
-impl Old {
+impl OldProcess {
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -303,7 +307,7 @@
     }
 }
 
-impl Drop for Old {
+impl Drop for OldProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -347,17 +351,17 @@
 
 impl Node {
     pub fn start(discovery: &Discovery) -> Node {
-        Node::with(discovery, json!([]), |_| {})
+        Node::start_with(discovery, json!([]), |_| {})
     }
 
-    pub fn with(discovery: &Discovery, known: Value, change: impl Fn(&mut Value)) -> Node {
-        let node = Node::started(discovery, known, change);
-        node.until_ready();
+    pub fn start_with(discovery: &Discovery, known: Value, change: impl Fn(&mut Value)) -> Node {
+        let node = Node::launch_with(discovery, known, change);
+        node.wait_until_ready();
         node
     }
 
     /// Starts a sender and does not wait until it is ready.
-    pub fn started(discovery: &Discovery, known: Value, change: impl Fn(&mut Value)) -> Node {
+    pub fn launch_with(discovery: &Discovery, known: Value, change: impl Fn(&mut Value)) -> Node {
         let mut node = Node::prepare(discovery.peer.address, known, change);
         node.launch();
         node
@@ -398,7 +402,7 @@
     }
 
     /// Bytes in the lasting folder, in whole blocks.
-    pub fn on_disk(&self) -> u64 {
+    pub fn disk_usage(&self) -> u64 {
         fn of(folder: &Path) -> u64 {
             // A file may go while it is looked at.
             let entries = std::fs::read_dir(folder).into_iter().flatten().flatten();
@@ -421,10 +425,10 @@
     }
 
     /// Starts a process that is expected to end at once by itself; how it did, and the log.
-    pub fn start_refused(&mut self) -> (ExitStatus, String) {
+    pub fn start_and_expect_exit(&mut self) -> (ExitStatus, String) {
         assert!(self.child.is_none(), "still running");
         let mut child = self.spawn();
-        let until = Instant::now() + BOUND;
+        let until = Instant::now() + TIMEOUT;
         let status = loop {
             if let Some(status) = child.try_wait().unwrap() {
                 break status;
@@ -443,16 +447,16 @@
 
     pub fn restart(&mut self) {
         self.launch();
-        self.until_ready();
+        self.wait_until_ready();
     }
 
     /// What it answers of its health; None where nobody listens yet.
     pub fn health(&self) -> Option<u16> {
-        call_at(self.address, "GET /healthz")
+        control_call(self.address, "GET /healthz")
     }
 
-    pub fn until_ready(&self) {
-        let until = Instant::now() + BOUND;
+    pub fn wait_until_ready(&self) {
+        let until = Instant::now() + TIMEOUT;
         loop {
             if self.health() == Some(200) {
                 return;
@@ -464,14 +468,17 @@
 
     /// Starts a second process beside the first, with another second address, and waits until it says that it
     /// is ready. The node is the new process from then on; the old one is what comes back.
-    pub fn upgrade(&mut self) -> Old {
+    pub fn upgrade(&mut self) -> OldProcess {
         let at = free_address();
         self.config["control"] = json!(at.to_string());
         let child = self.spawn();
-        let old = Old { child: self.child.replace(child).expect("a process runs"), control: self.control };
+        let old =
+            OldProcess { child: self.child.replace(child).expect("a process runs"), control: self.control };
         self.control = Some(at);
         let health = b"GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n";
-        self.until("the new process is ready", || ask(at, health).is_some_and(|r| r.first.contains(" 200")));
+        self.wait_until("the new process is ready", || {
+            send_request(at, health).is_some_and(|r| r.start_line.contains(" 200"))
+        });
         old
     }
 
@@ -497,14 +504,14 @@
     }
 
     /// One call on the second address; its status.
-    pub fn call(&self, call: &str) -> u16 {
-        call_at(self.control.expect("a second address"), call)
+    pub fn control(&self, call: &str) -> u16 {
+        control_call(self.control.expect("a second address"), call)
             .unwrap_or_else(|| panic!("{call}: {}", self.log()))
     }
 
     /// Sends bytes on a new connection and reads one answer.
-    pub fn ask(&self, bytes: &[u8]) -> Option<Request> {
-        ask(self.address, bytes)
+    pub fn send_request(&self, bytes: &[u8]) -> Option<Request> {
+        send_request(self.address, bytes)
     }
 
     pub fn hand_in(&self, class: &str, id: &str, dest: u64, expires_ms: u64, body: &[u8]) -> u16 {
@@ -520,12 +527,13 @@
         body: &[u8],
     ) -> (u16, HashMap<String, String>) {
         let bytes = message(class, id, dest, expires_ms, body);
-        let answer = self.ask(&bytes).unwrap_or_else(|| panic!("no answer for {id}: {}", self.log()));
-        (answer.first.split(' ').nth(1).unwrap().parse().unwrap(), answer.headers)
+        let answer =
+            self.send_request(&bytes).unwrap_or_else(|| panic!("no answer for {id}: {}", self.log()));
+        (answer.start_line.split(' ').nth(1).unwrap().parse().unwrap(), answer.headers)
     }
 
     /// Goes on with the process that ran before an upgrade.
-    pub fn is_again(&mut self, old: &Old) {
+    pub fn switch_back_to(&mut self, old: &OldProcess) {
         self.control = old.control;
     }
 
@@ -544,11 +552,11 @@
         self.signal("-STOP");
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    pub fn hang_up(&self) {
+    pub fn reload(&self) {
         self.signal("-HUP");
     }
 
@@ -604,8 +612,8 @@
     }
 
     /// Waits until something is so.
-    pub fn until(&self, what: &str, so: impl Fn() -> bool) {
-        let until = Instant::now() + BOUND;
+    pub fn wait_until(&self, what: &str, so: impl Fn() -> bool) {
+        let until = Instant::now() + TIMEOUT;
         while !so() {
             assert!(Instant::now() < until, "waited in vain until {what}: {}", self.log());
             std::thread::sleep(Duration::from_millis(10));
@@ -626,14 +634,14 @@
 }
 
 /// A sender whose list names one endpoint, of destination 7.
-pub fn one_endpoint(endpoint: &Peer) -> (Discovery, Node) {
+pub fn start_with_one_endpoint(endpoint: &Peer) -> (Discovery, Node) {
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
     let node = Node::start(&discovery);
     (discovery, node)
 }
 
 /// Hands in one more and waits for it: what the sender would have done before has been done by then.
-pub fn settle(node: &Node, endpoint: &Peer) {
+pub fn wait_until_settled(node: &Node, endpoint: &Peer) {
     assert_eq!(node.hand_in("alert", "settle", 7, 16_000, b"."), 202);
     endpoint.wait_for("settle", 1);
 }
