--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -43,7 +43,8 @@
 fn a_bit_that_flips_costs_one_message_and_is_told_and_set_aside() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([]));
-    let mut node = Node::with(&discovery, json!([]), |c| c["settings"]["Limits"]["MaxOpen"] = json!(400));
+    let mut node =
+        Node::start_with(&discovery, json!([]), |c| c["settings"]["Limits"]["MaxOpen"] = json!(400));
     let ids = taken_on(&node, 300);
     node.kill();
     let segments = node.segments();
@@ -59,7 +60,7 @@
         let seen = endpoint.seen();
         seen.iter().map(|r| r.id().to_string()).collect::<BTreeSet<_>>()
     };
-    node.until("all but one are delivered", || delivered().len() >= ids.len() - 1);
+    node.wait_until("all but one are delivered", || delivered().len() >= ids.len() - 1);
     assert!(delivered().is_subset(&ids));
     assert_eq!(endpoint.seen().len(), ids.len() - 1, "none twice, and one is lost");
     assert!(node.log().contains("DAMAGED"), "{}", node.log());
@@ -75,7 +76,7 @@
     node.kill();
     let before = files(&node.state());
     node.config["name"] = json!("n1");
-    let (status, log) = node.start_refused();
+    let (status, log) = node.start_and_expect_exit();
     assert!(!status.success());
     assert!(log.contains(r#"belongs to "n0", and this is "n1""#), "{log}");
     assert_eq!(files(&node.state()), before);
@@ -86,7 +87,7 @@
     assert_ne!(later, text);
     std::fs::write(&manifest, later).unwrap();
     let before = files(&node.state());
-    let (status, log) = node.start_refused();
+    let (status, log) = node.start_and_expect_exit();
     assert!(!status.success());
     assert!(log.contains("is of format 9") && log.contains("use the program that wrote it"), "{log}");
     assert_eq!(files(&node.state()), before);
@@ -130,7 +131,7 @@
             };
             notices.iter().map(pair).collect::<BTreeMap<_, _>>()
         };
-        node.until("three notices", || outcomes().len() >= 3);
+        node.wait_until("three notices", || outcomes().len() >= 3);
         let expected = [("held-1", "handed_back"), ("held-2", "handed_back"), ("out-1", "given_up")];
         let expected = expected.map(|(id, outcome)| (id.to_string(), outcome.to_string()));
         assert_eq!(outcomes(), BTreeMap::from(expected), "{version}");
@@ -151,7 +152,7 @@
     for store in [json!({"sync": "group"}), json!({"sync": "interval", "interval_ms": 20})] {
         let endpoint = Peer::new(|_| ok());
         let discovery = Discovery::new(json!([]));
-        let mut node = Node::with(&discovery, json!([]), |c| c["store"] = store.clone());
+        let mut node = Node::start_with(&discovery, json!([]), |c| c["store"] = store.clone());
         let ids = taken_on(&node, 20);
         node.kill();
         discovery.set(json!([ready("e-1", endpoint.address, 7)]));
@@ -180,7 +181,7 @@
         (json!({"snyc": "group"}), "unknown field `snyc`"),
     ] {
         node.config["store"] = store;
-        let (status, log) = node.start_refused();
+        let (status, log) = node.start_and_expect_exit();
         assert!(!status.success() && log.contains(told), "{log}");
     }
 }
@@ -191,12 +192,12 @@
     let control = free_address().to_string();
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let mut node = Node::with(&discovery, json!([]), |c| {
+    let mut node = Node::start_with(&discovery, json!([]), |c| {
         c["control"] = json!(control);
         // Segments of 12 KB: a few messages begin a new one.
         c["limits"]["disk_mb"] = json!(0.2);
     });
-    assert_eq!(node.call("GET /healthcheck"), 200);
+    assert_eq!(node.control("GET /healthcheck"), 200);
     for id in ["first", "second"] {
         assert_eq!(node.hand_in("alert", id, 7, 16_000, &[1; 3_000]), 202);
         endpoint.wait_for(id, 1);
@@ -208,10 +209,10 @@
     let refused =
         (0..1_000).find(|number| node.hand_in("alert", &format!("m{number}"), 7, 16_000, &[1; 3_000]) == 503);
     let refused = format!("m{}", refused.expect("one is refused"));
-    assert_eq!(node.call("GET /healthcheck"), 503);
+    assert_eq!(node.control("GET /healthcheck"), 503);
     assert!(node.log().contains("cannot write the journal"), "{}", node.log());
     std::fs::rename(&away, &journal).unwrap();
-    node.until("it is healthy again", || node.call("GET /healthcheck") == 200);
+    node.wait_until("it is healthy again", || node.control("GET /healthcheck") == 200);
     assert_eq!(node.hand_in("alert", "later", 7, 16_000, b"x"), 202);
     endpoint.wait_for("later", 1);
     node.terminate();
@@ -233,7 +234,7 @@
         _ => ok(),
     });
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let mut node = Node::with(&discovery, json!([]), |c| {
+    let mut node = Node::start_with(&discovery, json!([]), |c| {
         c["store"] = json!({"learned_s": 1});
         c["settings"]["Limits"]["MaxRetryAfterNs"] = json!(3_600_000_000_000u64);
     });
@@ -245,7 +246,7 @@
     endpoint.wait_for("waits", 1);
     let written = || std::fs::metadata(&learned).and_then(|m| m.modified()).ok();
     let before = written();
-    node.until("a snapshot since", || written() > before);
+    node.wait_until("a snapshot since", || written() > before);
     node.kill();
     node.restart();
     endpoint.wait_for("waits", 2);
@@ -285,12 +286,12 @@
     assert!(damaged.faults.iter().any(|f| !f.expected), "{:?}", damaged.faults);
     assert_eq!(damaged.owner.as_deref(), Some("n0"));
     let new = node.folder.join("new");
-    folder::write(&node.state(), &damaged.book, "n0", &new).unwrap();
+    folder::write(&node.state(), &damaged.pending, "n0", &new).unwrap();
     std::fs::remove_dir_all(node.state()).unwrap();
     std::fs::rename(&new, node.state()).unwrap();
     discovery.set(json!([ready("e-1", endpoint.address, 7)]));
     node.restart();
-    node.until("all but one are delivered", || endpoint.seen().len() >= ids.len() - 1);
+    node.wait_until("all but one are delivered", || endpoint.seen().len() >= ids.len() - 1);
     let seen: BTreeSet<String> = endpoint.seen().iter().map(|r| r.id().to_string()).collect();
     assert!(seen.len() == ids.len() - 1 && seen.is_subset(&ids), "{seen:?}");
     assert!(!node.log().contains("DAMAGED"), "{}", node.log());
--- a/tests/returns.rs
+++ b/tests/returns.rs
@@ -49,11 +49,11 @@
     let rate_hint = if case.told { case.usual * 1.25 } else { 0.0 };
     let listed = Event::List { whole: true, entries: vec![Entry { rate_hint, ..entry(1, 1, 0) }] };
     let begin = |seed: u64, now: Ns| {
-        let mut stand = Stand { sender: Sender::new(cfg.clone(), seed), now, actions: Vec::new() };
-        stand.give(vec![listed.clone()]);
+        let mut stand = Harness { sender: Sender::new(cfg.clone(), seed), now, actions: Vec::new() };
+        stand.handle(vec![listed.clone()]);
         stand
     };
-    let mut senders: Vec<Stand> = (0..n as u64).map(|i| begin(case.seed * 1_000 + i, T0)).collect();
+    let mut senders: Vec<Harness> = (0..n as u64).map(|i| begin(case.seed * 1_000 + i, START_TIME)).collect();
     // Some have several times the mean.
     let weights: Vec<f64> = (0..n).map(|_| 0.2 - 1.4 * draw().max(1e-3).ln()).collect();
     let all: f64 = weights.iter().sum();
@@ -65,10 +65,10 @@
     // Each sender's messages that have no end yet, for the restart.
     let mut held: Vec<BTreeMap<MsgId, (Message, Ns)>> = vec![BTreeMap::new(); n];
     let mut calls = Vec::new();
-    let (mut next, mut now) = (0, T0);
-    while now < T0 + END {
+    let (mut next, mut now) = (0, START_TIME);
+    while now < START_TIME + END {
         now += 20 * MS;
-        let at = now - T0;
+        let at = now - START_TIME;
         let mut given: Vec<Vec<Event>> = vec![vec![Event::Timer]; n];
         for i in 0..n {
             if restarts[i] && at == BACK - 2 * SECOND {
@@ -98,7 +98,7 @@
         }
         for (i, (stand, events)) in senders.iter_mut().zip(given).enumerate() {
             stand.now = now;
-            let actions = stand.give(events);
+            let actions = stand.handle(events);
             for action in &actions {
                 match *action {
                     Action::Refuse { id, .. } | Action::Fail { id } => _ = held[i].remove(&id),
@@ -119,7 +119,7 @@
                             calls.push((at, seen[i]));
                             held[i].remove(&id);
                         }
-                        let after = AttemptEnd { took, ..end(id, *attempt, endpoint, outcome) };
+                        let after = AttemptEnd { took, ..attempt_end(id, *attempt, endpoint, outcome) };
                         let key = (now + took, next * 16 + u64::from(*attempt));
                         let key = (key.0, key.1 * 1_000_000 + id);
                         answers.insert(key, (i, lives[i], after));
--- a/tests/sender.rs
+++ b/tests/sender.rs
@@ -18,10 +18,10 @@
 
 /// A message is over once it was called for, and the next process owes nothing for it.
 fn one_call_ends_it_for_good(endpoint: &Peer, class: &str) {
-    let (discovery, mut node) = one_endpoint(endpoint);
+    let (discovery, mut node) = start_with_one_endpoint(endpoint);
     assert_eq!(node.hand_in(class, "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
-    settle(&node, endpoint);
+    wait_until_settled(&node, endpoint);
     node.kill();
     node.restart();
     assert_eq!(node.hand_in("alert", "last", 7, 16_000, b"x"), 202);
@@ -33,12 +33,12 @@
 #[test]
 fn takes_on_and_delivers_unchanged_over_one_kept_connection() {
     let endpoint = Peer::new(|_| ok());
-    let (discovery, node) = one_endpoint(&endpoint);
+    let (discovery, node) = start_with_one_endpoint(&endpoint);
     let body: Vec<u8> = (0..=255).collect();
     for id in ["a", "b", "c"] {
         assert_eq!(node.hand_in("alert", id, 7, 9_000, &body), 202);
         let call = endpoint.wait_for(id, 1).remove(0);
-        assert_eq!(call.first, "POST /v1/messages HTTP/1.1");
+        assert_eq!(call.start_line, "POST /v1/messages HTTP/1.1");
         assert_eq!(call.headers["idempotency-key"], format!("key-{id}"));
         assert_eq!(call.body, body);
         let wait: u64 = call.headers["x-expires-in-ms"].parse().unwrap();
@@ -52,7 +52,7 @@
 fn names_beyond_ascii_are_names_as_any_other() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([instance("e-é", endpoint.address, 7, "Fähre", "Ready")]));
-    let node = Node::with(&discovery, json!([]), |c| {
+    let node = Node::start_with(&discovery, json!([]), |c| {
         c["settings"]["Services"][0]["Name"] = json!("Änderung-席");
         c["settings"]["Realms"][0]["Name"] = json!("Hütte");
         c["settings"]["Kinds"][0] = json!("Fähre");
@@ -63,13 +63,13 @@
     };
     let encoded = plain("encoded").replacen("/Änderung-席 ", "/%C3%84nderung-%E5%B8%AD ", 1);
     for (id, request) in [("plain-ø", plain("plain-ø")), ("encoded", encoded)] {
-        let answer = node.ask(request.as_bytes()).expect("an answer");
-        assert!(answer.first.contains(" 202 "), "{id}: {}", answer.first);
+        let answer = node.send_request(request.as_bytes()).expect("an answer");
+        assert!(answer.start_line.contains(" 202 "), "{id}: {}", answer.start_line);
         let call = endpoint.wait_for(id, 1).remove(0);
         assert_eq!(call.headers["idempotency-key"], format!("key-{id}"));
     }
     let other = plain("other").replacen("X-Qos: Änderung-席", "X-Qos: Anderung-席", 1);
-    assert!(node.ask(other.as_bytes()).expect("an answer").first.contains(" 400 "));
+    assert!(node.send_request(other.as_bytes()).expect("an answer").start_line.contains(" 400 "));
 }
 
 #[test]
@@ -81,7 +81,7 @@
         Some(before) if r.at - before > KEPT => Reply::Close,
         _ => ok(),
     });
-    let (discovery, node) = one_endpoint(&endpoint);
+    let (discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("alert", "first", 7, 16_000, b"x"), 202);
     let first = endpoint.wait_for("first", 1).remove(0);
     std::thread::sleep(2 * KEPT);
@@ -92,13 +92,13 @@
     std::thread::sleep(lost[0].at - first.at);
     assert_eq!(node.hand_in("order", "unsafe", 7, 16_000, b"x"), 202);
     assert_ne!(endpoint.wait_for("unsafe", 1)[0].connection, lost[1].connection);
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
     assert!(discovery.notices().is_empty());
 }
 
 #[test]
 fn what_never_ran_goes_again_even_if_unsafe() {
-    let rows: [Row; 4] = [
+    let rows: [ReplyCase; 4] = [
         ("503", || answer("503 Full", "", "")),
         ("line busy", || answer("503 Busy", "X-Line-Busy: 1\r\n", "")),
         ("504", || answer("504 Used up", "", "")),
@@ -106,7 +106,7 @@
     ];
     for (row, reply) in rows {
         let endpoint = first_then_ok(reply);
-        let (discovery, node) = one_endpoint(&endpoint);
+        let (discovery, node) = start_with_one_endpoint(&endpoint);
         assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
         endpoint.wait_for("m", 2);
         assert!(discovery.notices().is_empty(), "{row}");
@@ -115,21 +115,21 @@
 
 #[test]
 fn what_may_have_run_goes_again_only_if_keyed() {
-    let rows: [Row; 3] = [
+    let rows: [ReplyCase; 3] = [
         ("500", || answer("500 Error", "", "")),
         ("unknown", || answer("418 Teapot", "", "")),
         ("reset", || Reply::Close),
     ];
     for (row, reply) in rows {
         let endpoint = first_then_ok(reply);
-        let (discovery, node) = one_endpoint(&endpoint);
+        let (discovery, node) = start_with_one_endpoint(&endpoint);
         assert_eq!(node.hand_in("order", "unsafe", 7, 16_000, b"x"), 202);
-        assert_eq!(discovery.wait_notice("unsafe")["outcome"], "given_up", "{row}");
-        settle(&node, &endpoint);
+        assert_eq!(discovery.wait_for_notice("unsafe")["outcome"], "given_up", "{row}");
+        wait_until_settled(&node, &endpoint);
         assert_eq!(endpoint.wait_for("unsafe", 1).len(), 1, "{row}");
 
         let endpoint = first_then_ok(reply);
-        let (discovery, node) = one_endpoint(&endpoint);
+        let (discovery, node) = start_with_one_endpoint(&endpoint);
         assert_eq!(node.hand_in("alert", "keyed", 7, 16_000, b"x"), 202);
         let calls = endpoint.wait_for("keyed", 2);
         assert_eq!(calls[0].headers["idempotency-key"], calls[1].headers["idempotency-key"]);
@@ -139,40 +139,40 @@
 
 #[test]
 fn an_answer_that_cannot_be_read_delivers_its_one_message_if_its_first_line_says_200() {
-    let broken: [Row; 3] = [
+    let broken: [ReplyCase; 3] = [
         ("length", || Reply::Bytes("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n".into())),
         ("header", || Reply::Bytes("HTTP/1.1 200 OK\r\nno header at all\r\n\r\n".into())),
-        ("cut off", || Reply::Last("HTTP/1.1 200 OK\r\nContent-Le".into())),
+        ("cut off", || Reply::BytesThenClose("HTTP/1.1 200 OK\r\nContent-Le".into())),
     ];
     for (row, reply) in broken {
         let endpoint = first_then_ok(reply);
-        let (discovery, node) = one_endpoint(&endpoint);
+        let (discovery, node) = start_with_one_endpoint(&endpoint);
         assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
         endpoint.wait_for("m", 1);
-        settle(&node, &endpoint);
+        wait_until_settled(&node, &endpoint);
         assert_eq!(endpoint.wait_for("m", 1).len(), 1, "{row}: delivered, so not sent again");
         assert!(discovery.notices().is_empty(), "{row}");
     }
-    let unreadable: [Row; 3] = [
-        ("half a line", || Reply::Last("HTTP/1.1 200 O".into())),
+    let unreadable: [ReplyCase; 3] = [
+        ("half a line", || Reply::BytesThenClose("HTTP/1.1 200 O".into())),
         ("status", || Reply::Bytes("HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n".into())),
         ("version", || Reply::Bytes("ICY 200 OK\r\nContent-Length: 0\r\n\r\n".into())),
     ];
     for (row, reply) in unreadable {
         let endpoint = first_then_ok(reply);
-        let (discovery, node) = one_endpoint(&endpoint);
+        let (discovery, node) = start_with_one_endpoint(&endpoint);
         assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
-        assert_eq!(discovery.wait_notice("m")["outcome"], "given_up", "{row}");
+        assert_eq!(discovery.wait_for_notice("m")["outcome"], "given_up", "{row}");
     }
 }
 
 #[test]
 fn a_message_that_its_endpoint_cannot_read_is_given_up_after_one_call() {
     let endpoint = Peer::new(|r| if r.id() == "m" { answer("400 Bad", "", "") } else { ok() });
-    let (discovery, node) = one_endpoint(&endpoint);
+    let (discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
-    assert_eq!(discovery.wait_notice("m")["outcome"], "given_up");
-    settle(&node, &endpoint);
+    assert_eq!(discovery.wait_for_notice("m")["outcome"], "given_up");
+    wait_until_settled(&node, &endpoint);
     assert_eq!(endpoint.wait_for("m", 1).len(), 1);
 }
 
@@ -185,16 +185,16 @@
 fn silence_ends_an_unsafe_message_at_its_time_and_closes_the_connection_of_a_keyed_one_before_it_goes_again()
 {
     let endpoint = first_then_ok(|| Reply::Hang);
-    let (discovery, node) = one_endpoint(&endpoint);
+    let (discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "unsafe", 7, 600, b"x"), 202);
-    assert_eq!(discovery.wait_notice("unsafe")["outcome"], "given_up");
+    assert_eq!(discovery.wait_for_notice("unsafe")["outcome"], "given_up");
 
     let endpoint = first_then_ok(|| Reply::Hang);
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("alert", "keyed", 7, 16_000, b"x"), 202);
     let calls = endpoint.wait_for("keyed", 2);
     assert_ne!(calls[0].connection, calls[1].connection);
-    node.until("the first connection is closed", || endpoint.has_ended(calls[0].connection));
+    node.wait_until("the first connection is closed", || endpoint.has_ended(calls[0].connection));
 }
 
 #[test]
@@ -203,13 +203,13 @@
     let discovery = Discovery::new(json!([ready("e-1", closed, 7)]));
     let node = Node::start(&discovery);
     assert_eq!(node.hand_in("order", "m", 7, 1_000, b"x"), 202);
-    assert_eq!(discovery.wait_notice("m")["outcome"], "handed_back");
+    assert_eq!(discovery.wait_for_notice("m")["outcome"], "handed_back");
 }
 
 #[test]
 fn a_told_wait_binds_every_message_of_the_destination() {
     let endpoint = first_then_ok(|| answer("429 Wait", "Retry-After: 1.2\r\n", ""));
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("alert", "told", 7, 16_000, b"x"), 202);
     let told = endpoint.wait_for("told", 1).remove(0).at;
     assert_eq!(node.hand_in("alert", "other", 7, 16_000, b"x"), 202);
@@ -226,7 +226,7 @@
         if calls.fetch_add(1, Ordering::SeqCst) == 0 {
             return answer("429 Wait", "Retry-After: 1.5\r\n", "");
         }
-        if !request.first.contains(":batch") {
+        if !request.start_line.contains(":batch") {
             return ok();
         }
         let ends: Vec<Value> = serde_json::from_slice::<Vec<Value>>(&request.body)
@@ -250,7 +250,7 @@
         assert_eq!(node.hand_in("order", id, 7, 6_000, id.as_bytes()), 202);
     }
     let batches = |seen: &[Request]| -> Vec<Vec<Value>> {
-        let batch = seen.iter().filter(|r| r.first.contains(":batch"));
+        let batch = seen.iter().filter(|r| r.start_line.contains(":batch"));
         batch.map(|r| serde_json::from_slice(&r.body).unwrap()).collect()
     };
     let seen = endpoint.wait("a batch", |s| !batches(s).is_empty());
@@ -258,7 +258,7 @@
     let failed = batch.iter().find(|m| m["id"] == "failed.2").expect("all that were held are in one call");
     let body = base64::engine::general_purpose::STANDARD.encode("failed.2");
     assert_eq!((&failed["body"], &failed["key"]), (&json!(body), &json!("key-failed.2")));
-    assert_eq!(discovery.wait_notice("failed.2")["outcome"], "given_up");
+    assert_eq!(discovery.wait_for_notice("failed.2")["outcome"], "given_up");
     let count = |seen: &[Request], id: &str| {
         let inside = batches(seen).iter().flatten().filter(|m| m["id"] == id).count();
         inside + seen.iter().filter(|r| r.id() == id).count()
@@ -274,8 +274,8 @@
 #[test]
 fn what_is_too_much_for_one_body_goes_in_parts() {
     let endpoint = first_then_ok(|| answer("429 Wait", "Retry-After: 1.5\r\n", ""));
-    endpoint.also(|request| {
-        let many = request.first.contains(":batch");
+    endpoint.add_script(|request| {
+        let many = request.start_line.contains(":batch");
         let list: Vec<Value> = if many { serde_json::from_slice(&request.body).unwrap() } else { Vec::new() };
         let ends: Vec<Value> = list.iter().map(|m| json!({"id": m["id"], "state": "done"})).collect();
         many.then(|| answer("200 OK", "", &json!(ends).to_string()))
@@ -289,7 +289,7 @@
     }
     let delivered = |seen: &[Request], id: &str| {
         let named = format!("\"id\":\"{id}\"");
-        let batches = seen.iter().filter(|r| r.first.contains(":batch"));
+        let batches = seen.iter().filter(|r| r.start_line.contains(":batch"));
         let inside = batches.filter(|r| String::from_utf8_lossy(&r.body).contains(&named)).count();
         inside + seen.iter().filter(|r| r.id() == id).count()
     };
@@ -309,7 +309,7 @@
     }
     discovery.set(json!([ready("e-1", endpoint.address, 7)]));
     endpoint.wait_for("m", 1);
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
     assert_eq!(endpoint.wait_for("m", 1).len(), 1);
 }
 
@@ -317,7 +317,7 @@
 fn past_the_bound_what_waited_is_handed_back_with_a_time_and_the_door_refuses() {
     let endpoint = Peer::new(|_| Reply::Hang);
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let node = Node::with(&discovery, json!([]), |c| {
+    let node = Node::start_with(&discovery, json!([]), |c| {
         c["settings"]["Limits"]["MaxOpen"] = json!(30);
         c["settings"]["FamilyInfo"]["CallsOut"] = json!(4);
     });
@@ -333,7 +333,7 @@
     let after: f64 = refused.expect("a bound on what is held")["retry-after"].parse().unwrap();
     assert!(after > 0.0);
     let seen =
-        discovery.peer.wait("a message handed back", |s| s.iter().any(|r| r.first.contains("/reports")));
+        discovery.peer.wait("a message handed back", |s| s.iter().any(|r| r.start_line.contains("/reports")));
     assert!(!seen.is_empty());
     let notices = discovery.notices();
     assert!(notices.iter().all(|n| n["outcome"] == "handed_back"), "{notices:?}");
@@ -357,17 +357,17 @@
 #[test]
 fn a_kill_during_an_attempt_ends_an_unsafe_message_and_repeats_a_keyed_one_under_its_key() {
     let endpoint = first_then_ok(|| Reply::Hang);
-    let (discovery, mut node) = one_endpoint(&endpoint);
+    let (discovery, mut node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "unsafe", 7, 16_000, b"x"), 202);
     endpoint.wait_for("unsafe", 1);
     node.kill();
     node.restart();
-    assert_eq!(discovery.wait_notice("unsafe")["outcome"], "given_up");
-    settle(&node, &endpoint);
+    assert_eq!(discovery.wait_for_notice("unsafe")["outcome"], "given_up");
+    wait_until_settled(&node, &endpoint);
     assert_eq!(endpoint.wait_for("unsafe", 1).len(), 1);
 
     let endpoint = first_then_ok(|| Reply::Hang);
-    let (discovery, mut node) = one_endpoint(&endpoint);
+    let (discovery, mut node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("alert", "keyed", 7, 16_000, b"x"), 202);
     endpoint.wait_for("keyed", 1);
     node.kill();
@@ -381,7 +381,7 @@
 fn the_window_of_a_key_counts_from_the_first_attempt_over_a_restart() {
     let endpoint = first_then_ok(|| Reply::Hang);
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let mut node = Node::with(&discovery, json!([]), |c| {
+    let mut node = Node::start_with(&discovery, json!([]), |c| {
         c["settings"]["Services"][0]["WindowNs"] = json!(300_000_000);
     });
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
@@ -389,8 +389,8 @@
     node.kill();
     std::thread::sleep(Duration::from_millis(400));
     node.restart();
-    discovery.wait_notice("m");
-    settle(&node, &endpoint);
+    discovery.wait_for_notice("m");
+    wait_until_settled(&node, &endpoint);
     assert_eq!(endpoint.wait_for("m", 1).len(), 1);
 }
 
@@ -408,25 +408,26 @@
     node.kill();
     std::thread::sleep(Duration::from_millis(400));
     node.restart();
-    assert_eq!(discovery.wait_notice("m")["outcome"], "handed_back");
+    assert_eq!(discovery.wait_for_notice("m")["outcome"], "handed_back");
 
     // This platform takes notices badly: closed once, then an error, then as it should be.
     let calls = AtomicUsize::new(0);
-    let platform = Peer::new(move |r| match (r.first.starts_with("POST"), calls.load(Ordering::SeqCst)) {
-        (false, _) => answer("200 OK", "", r#"{"generation":1,"reset":true,"instances":[]}"#),
-        (true, tries) => {
-            calls.fetch_add(1, Ordering::SeqCst);
-            match tries {
-                0 => Reply::Close,
-                1 => answer("500 Error", "", ""),
-                _ => answer("204 No Content", "", ""),
+    let platform =
+        Peer::new(move |r| match (r.start_line.starts_with("POST"), calls.load(Ordering::SeqCst)) {
+            (false, _) => answer("200 OK", "", r#"{"generation":1,"reset":true,"instances":[]}"#),
+            (true, tries) => {
+                calls.fetch_add(1, Ordering::SeqCst);
+                match tries {
+                    0 => Reply::Close,
+                    1 => answer("500 Error", "", ""),
+                    _ => answer("204 No Content", "", ""),
+                }
             }
-        }
-    });
+        });
     let discovery = Discovery { peer: platform, ..discovery };
     let node = Node::start(&discovery);
     assert_eq!(node.hand_in("order", "n", 7, 300, b"x"), 202);
-    let posts = |s: &[Request]| s.iter().filter(|r| r.first.starts_with("POST")).count();
+    let posts = |s: &[Request]| s.iter().filter(|r| r.start_line.starts_with("POST")).count();
     discovery.peer.wait("the notice three times", |s| posts(s) == 3);
     assert!(discovery.notices().iter().all(|n| n["message"] == "n"));
 }
@@ -447,7 +448,7 @@
     discovery.set(json!([ready("e-1", endpoint.address, 7)]));
     node.restart();
     endpoint.wait_for("whole", 1);
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
     assert!(!endpoint.seen().iter().any(|r| r.id() == "torn"));
     // What is written after the cut can be read again.
     discovery.set(json!([]));
@@ -466,13 +467,13 @@
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
     let limit = 400_000;
-    let mut node = Node::with(&discovery, json!([]), |c| c["limits"]["disk_mb"] = json!(0.4));
+    let mut node = Node::start_with(&discovery, json!([]), |c| c["limits"]["disk_mb"] = json!(0.4));
     // Far more than fits, were nothing dropped.
     for i in 0..60 {
         let id = format!("m{i}");
         assert_eq!(node.hand_in("alert", &id, 7, 16_000, &[1; 20_000]), 202);
         endpoint.wait_for(&id, 1);
-        assert!(node.on_disk() <= limit, "{}", node.on_disk());
+        assert!(node.disk_usage() <= limit, "{}", node.disk_usage());
     }
     // And nothing that lives is dropped: these wait for a list that names their destination.
     let mut held = Vec::new();
@@ -482,7 +483,7 @@
             202 => held.push(id),
             status => break assert_eq!(status, 503),
         }
-        assert!(node.on_disk() <= limit && held.len() < 50, "{}", node.on_disk());
+        assert!(node.disk_usage() <= limit && held.len() < 50, "{}", node.disk_usage());
     }
     assert!(held.len() >= 3, "{}", held.len());
     node.kill();
@@ -493,7 +494,7 @@
         assert_eq!(endpoint.wait_for(id, 1)[0].body, [2; 20_000]);
     }
     assert_eq!(node.hand_in("order", "room again", 7, 16_000, b"x"), 202);
-    assert!(node.on_disk() <= limit);
+    assert!(node.disk_usage() <= limit);
 }
 
 #[test]
@@ -504,13 +505,13 @@
     let count = arrived.clone();
     let endpoint = Peer::new(move |_| {
         count.fetch_add(1, Ordering::SeqCst);
-        let _ = gate.lock().unwrap().recv_timeout(BOUND);
+        let _ = gate.lock().unwrap().recv_timeout(TIMEOUT);
         ok()
     });
-    let (discovery, mut node) = one_endpoint(&endpoint);
+    let (discovery, mut node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "out", 7, 16_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "held", 9, 16_000, b"x"), 202);
-    node.until("the call is out", || arrived.load(Ordering::SeqCst) == 1);
+    node.wait_until("the call is out", || arrived.load(Ordering::SeqCst) == 1);
     node.terminate();
     // New connections go on coming for a while and are served.
     assert_eq!(node.hand_in("order", "late", 9, 16_000, b"x"), 202);
@@ -522,7 +523,7 @@
     node.restart();
     endpoint.wait_for("held", 1);
     endpoint.wait_for("late", 1);
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
     assert_eq!(endpoint.wait_for("out", 1).len(), 1);
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
@@ -530,27 +531,27 @@
 #[test]
 fn sigterm_does_not_wait_for_a_call_that_hangs_and_the_next_process_goes_on() {
     let endpoint = first_then_ok(|| Reply::Hang);
-    let (discovery, mut node) = one_endpoint(&endpoint);
+    let (discovery, mut node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "hangs", 7, 16_000, b"x"), 202);
     endpoint.wait_for("hangs", 1);
     node.terminate();
     assert!(node.wait_exit().success());
     node.restart();
-    assert_eq!(discovery.wait_notice("hangs")["outcome"], "given_up");
+    assert_eq!(discovery.wait_for_notice("hangs")["outcome"], "given_up");
 }
 
 #[test]
 fn clients_that_stand_idle_make_place_for_others() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let node = Node::with(&discovery, json!([]), |c| c["limits"]["sockets"] = json!(64));
+    let node = Node::start_with(&discovery, json!([]), |c| c["limits"]["sockets"] = json!(64));
     // 40 are left to share: 20 for clients, of which the last ones come back with their answer.
     let kept: Vec<TcpStream> = (0..17)
         .map(|_| {
             let mut client = TcpStream::connect(node.address).unwrap();
             client.write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
             let answer = read_message(&mut BufReader::new(client.try_clone().unwrap()), 0).unwrap();
-            assert!(answer.first.contains(" 200") && !answer.headers.contains_key("connection"));
+            assert!(answer.start_line.contains(" 200") && !answer.headers.contains_key("connection"));
             client
         })
         .collect();
@@ -558,7 +559,7 @@
     // unless they are needed.
     let silent = std::cell::RefCell::new(Vec::new());
     kept[0].set_read_timeout(Some(Duration::from_millis(1))).unwrap();
-    node.until("the one that stood longest makes place", || {
+    node.wait_until("the one that stood longest makes place", || {
         silent.borrow_mut().push(TcpStream::connect(node.address).unwrap());
         (&kept[0]).read(&mut [0]).is_ok_and(|n| n == 0)
     });
@@ -569,9 +570,9 @@
 #[test]
 fn a_crowd_that_finishes_nothing_leaves_room_for_messages_slow_ones_included() {
     let endpoint = Peer::new(|_| ok());
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let mut slow = TcpStream::connect(node.address).unwrap();
-    slow.set_read_timeout(Some(BOUND)).unwrap();
+    slow.set_read_timeout(Some(TIMEOUT)).unwrap();
     let slowly = message("order", "slow", 7, 16_000, b"x");
     let mut pieces = slowly.chunks(slowly.len().div_ceil(15));
     let mut crowd = Vec::new();
@@ -594,21 +595,21 @@
         assert!(if closes { round >= 3 } else { round <= 5 }, "round {round}");
     }
     let answer = read_message(&mut BufReader::new(slow), 0).expect("an answer");
-    assert!(answer.first.contains(" 202 "), "{}", answer.first);
+    assert!(answer.start_line.contains(" 202 "), "{}", answer.start_line);
     endpoint.wait_for("slow", 1);
 }
 
 #[test]
 fn a_client_that_leaves_in_the_middle_harms_nothing() {
     let endpoint = Peer::new(|_| ok());
-    let (discovery, node) = one_endpoint(&endpoint);
+    let (discovery, node) = start_with_one_endpoint(&endpoint);
     for part in
         ["PO", "POST /alert HTTP/1.1\r\nHost: x\r\n", "POST /alert HTTP/1.1\r\nContent-Length: 9\r\n\r\nx"]
     {
         let mut client = TcpStream::connect(node.address).unwrap();
         client.write_all(part.as_bytes()).unwrap();
     }
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
     assert_eq!(endpoint.seen().len(), 1);
     assert!(discovery.notices().is_empty());
 }
@@ -658,7 +659,7 @@
         let _inside = runtime.enter();
         let listener = listener.into_std().unwrap();
         listener.set_nonblocking(false).unwrap();
-        Peer::on(listener, |_| ok())
+        Peer::with_listener(listener, |_| ok())
     }
 }
 
@@ -667,15 +668,15 @@
     let (slow, other) = (Slow::new(), Peer::new(|_| ok()));
     let discovery = Discovery::new(json!([ready("e-1", slow.address, 7)]));
     let patient = |c: &mut Value| c["settings"]["Limits"]["DialTimeoutNs"] = json!(20_000_000_000u64);
-    let node = Node::with(&discovery, json!([]), patient);
+    let node = Node::start_with(&discovery, json!([]), patient);
     let address = slow.address;
     assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
     discovery
         .set(json!([instance("e-1", address, 7, "plain", "Terminating"), ready("e-2", other.address, 7)]));
     // The change has been told once the sender watches on from it; this message can only go to the new one.
-    discovery.peer.wait("the watch to go on", |s| s.iter().any(|r| r.first.contains("index=2")));
+    discovery.peer.wait("the watch to go on", |s| s.iter().any(|r| r.start_line.contains("index=2")));
     let slow = slow.open();
-    node.until("the connection comes up", || slow.connections() > 0);
+    node.wait_until("the connection comes up", || slow.connections() > 0);
     other.wait_for("m", 1);
     assert!(slow.seen().is_empty(), "{:?}", slow.seen());
 }
@@ -685,20 +686,20 @@
     let (slow, other) = (Slow::new(), first_then_ok(|| answer("429 Wait", "Retry-After: 3\r\n", "")));
     let discovery = Discovery::new(json!([ready("e-1", slow.address, 7)]));
     let patient = |c: &mut Value| c["settings"]["Limits"]["DialTimeoutNs"] = json!(20_000_000_000u64);
-    let node = Node::with(&discovery, json!([]), patient);
+    let node = Node::start_with(&discovery, json!([]), patient);
     assert_eq!(node.hand_in("order", "connecting", 7, 16_000, b"x"), 202);
     // Only now, so that the first message can't choose it; the next one finds no call out there.
     discovery.set(json!([ready("e-1", slow.address, 7), ready("e-2", other.address, 7)]));
-    discovery.peer.wait("the watch to go on", |s| s.iter().any(|r| r.first.contains("index=2")));
+    discovery.peer.wait("the watch to go on", |s| s.iter().any(|r| r.start_line.contains("index=2")));
     assert_eq!(node.hand_in("order", "told", 7, 16_000, b"x"), 202);
     let told = other.wait_for("told", 1).remove(0).at;
     let slow = slow.open();
-    node.until("the connection comes up", || slow.connections() > 0);
+    node.wait_until("the connection comes up", || slow.connections() > 0);
     let calls = |id: &str| {
         let all = slow.seen().into_iter().chain(other.seen());
         all.filter(|r| r.id() == id).map(|r| r.at).collect::<Vec<_>>()
     };
-    node.until("both are delivered", || calls("connecting").len() == 1 && calls("told").len() == 2);
+    node.wait_until("both are delivered", || calls("connecting").len() == 1 && calls("told").len() == 2);
     assert!(calls("connecting")[0] - told >= Duration::from_secs(3));
 }
 
@@ -708,12 +709,12 @@
     let discovery = Discovery::new(json!([]));
     discovery.silence();
     let known = json!([ready("e-1", endpoint.address, 7), {"instanceId": "unreadable"}]);
-    let mut node = Node::with(&discovery, known, |_| {});
+    let mut node = Node::start_with(&discovery, known, |_| {});
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
     // Another destination's endpoint is none of this one's, however few there are.
     assert_eq!(node.hand_in("alert", "elsewhere", 8, 500, b"x"), 202);
-    assert_eq!(discovery.wait_notice("elsewhere")["outcome"], "handed_back");
+    assert_eq!(discovery.wait_for_notice("elsewhere")["outcome"], "handed_back");
     assert_eq!(endpoint.seen().len(), 1);
     assert!(node.is_running());
 }
@@ -725,18 +726,18 @@
     let mut node = Node::start(&old);
     // A file that can't be read changes nothing.
     std::fs::write(node.folder.join("config.json"), "{").unwrap();
-    node.hang_up();
-    node.until("the reload has failed", || node.log().contains("cannot reload"));
+    node.reload();
+    node.wait_until("the reload has failed", || node.log().contains("cannot reload"));
     assert!(node.is_running());
     node.config["discovery"] = json!(new.peer.address.to_string());
     std::fs::write(node.folder.join("config.json"), node.config.to_string()).unwrap();
     // A watch at the old address that is never answered must not hold it up.
     old.silence();
-    node.hang_up();
+    node.reload();
     assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
     assert_eq!(node.hand_in("order", "nowhere", 8, 300, b"x"), 202);
-    assert_eq!(new.wait_notice("nowhere")["outcome"], "handed_back");
+    assert_eq!(new.wait_for_notice("nowhere")["outcome"], "handed_back");
     assert!(old.notices().is_empty());
     assert!(node.is_running());
 }
@@ -744,7 +745,7 @@
 #[test]
 fn strangers_that_send_nothing_whole_are_closed_or_told_in_time() {
     let endpoint = Peer::new(|_| ok());
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let head = "POST /alert HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\nX-Qos: alert\r\nX-Customer: acme\r\n\
                 X-Expires-In-Ms: 9000\r\nX-Consignee: dest=7\r\nIdempotency-Key: k\r\n";
     let part_of_a_body = format!("{head}Content-Length: 9\r\n\r\nx");
@@ -763,20 +764,20 @@
         stranger.read_to_end(&mut told).expect("closed in time");
         assert!(told.is_empty() || told.starts_with(b"HTTP/1.1 4"), "{}", String::from_utf8_lossy(&told));
     }
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
     assert_eq!(endpoint.seen().len(), 1, "nothing of theirs is taken on");
 }
 
 #[test]
 fn what_follows_a_request_with_two_lengths_is_not_read_as_another_one() {
     let endpoint = Peer::new(|_| ok());
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let inner = String::from_utf8(message("alert", "inner", 7, 9_000, b"")).unwrap();
     let outer = String::from_utf8(message("alert", "outer", 7, 9_000, b"")).unwrap();
     let lengths = format!("Content-Length: {}\r\nTransfer-Encoding: chunked\r\n", 5 + inner.len());
     let outer = outer.replace("Content-Length: 0\r\n", &lengths);
     let mut stream = TcpStream::connect(node.address).unwrap();
-    stream.set_read_timeout(Some(peers::BOUND)).unwrap();
+    stream.set_read_timeout(Some(peers::TIMEOUT)).unwrap();
     stream.write_all(format!("{outer}0\r\n\r\n{inner}").as_bytes()).unwrap();
     let mut all = String::new();
     stream.read_to_string(&mut all).unwrap();
@@ -786,16 +787,16 @@
     let chunked = String::from_utf8(message("alert", "chunked", 7, 9_000, b"")).unwrap();
     let chunked =
         chunked.replace("Content-Length: 0\r\n", "Transfer-Encoding: chunked\r\n") + "1\r\nx\r\n0\r\n\r\n";
-    assert!(node.ask(chunked.as_bytes()).expect("an answer").first.contains(" 202 "));
+    assert!(node.send_request(chunked.as_bytes()).expect("an answer").start_line.contains(" 202 "));
     assert_eq!(endpoint.wait_for("chunked", 1)[0].body, b"x");
     assert!(endpoint.seen().iter().all(|r| r.id() != "inner" && r.id() != "outer"));
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
 }
 
 #[test]
 fn malformed_input_is_answered_and_harms_nothing() {
     let endpoint = Peer::new(|_| ok());
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let full = [
         ("X-Trace-Id", "t"),
         ("X-Qos", "alert"),
@@ -814,8 +815,8 @@
         }
         let mut bytes = (text + "\r\n").into_bytes();
         bytes.resize(bytes.len() + length, b'x');
-        let answer = node.ask(&bytes).unwrap_or_else(|| panic!("no answer to {first} {change:?}"));
-        answer.first.split(' ').nth(1).unwrap().parse::<u16>().unwrap()
+        let answer = node.send_request(&bytes).unwrap_or_else(|| panic!("no answer to {first} {change:?}"));
+        answer.start_line.split(' ').nth(1).unwrap().parse::<u16>().unwrap()
     };
     for (name, value) in [
         ("X-Trace-Id", None),
@@ -846,12 +847,12 @@
         "Host: x\r\nHost: y\r\n",
         "Host: x\r\nTransfer-Encoding: chunked\r\n",
     ] {
-        let answer = node.ask(format!("{message}{more}\r\nx").as_bytes()).expect("an answer");
-        assert!(answer.first.contains(" 400 "), "{more}: {}", answer.first);
+        let answer = node.send_request(format!("{message}{more}\r\nx").as_bytes()).expect("an answer");
+        assert!(answer.start_line.contains(" 400 "), "{more}: {}", answer.start_line);
     }
     let padded = format!("{message}Host: x\r\nX-Pad: {}\r\n\r\nx", "p".repeat(20_000));
-    let answer = node.ask(padded.as_bytes()).expect("an answer");
-    assert!(answer.first.contains(" 431 "), "{}", answer.first);
+    let answer = node.send_request(padded.as_bytes()).expect("an answer");
+    assert!(answer.start_line.contains(" 431 "), "{}", answer.start_line);
     assert_eq!(ask("POST /nosuch", ("", None), 1), 404);
     assert_eq!(ask("POST /", ("", None), 1), 404);
     assert_eq!(ask("GET /alert", ("", None), 0), 405);
@@ -860,7 +861,7 @@
     assert_eq!(ask("POST /alert", ("X-Consignee", Some("dest=18446744073709551615")), 1), 202);
     assert_eq!(ask("POST /alert", ("X-Trace-Id", Some("largest")), 64 << 10), 202);
     assert_eq!(endpoint.wait_for("largest", 1)[0].body.len(), 64 << 10);
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
 }
 
 #[test]
@@ -868,13 +869,13 @@
     let endpoint = Peer::new(|_| ok());
     let known = json!([ready("e-1", endpoint.address, 7)]);
     let discovery = Discovery::new(known.clone());
-    let node = Node::with(&discovery, known, |c| c["known"]["generation"] = json!(1));
+    let node = Node::start_with(&discovery, known, |c| c["known"]["generation"] = json!(1));
     let lists = |seen: &[Request]| {
-        seen.iter().filter(|r| r.first.contains("/v1/servers")).cloned().collect::<Vec<_>>()
+        seen.iter().filter(|r| r.start_line.contains("/v1/servers")).cloned().collect::<Vec<_>>()
     };
     let seen = lists(&discovery.peer.wait("two calls for lists", |seen| lists(seen).len() >= 2));
-    assert!(seen[0].first.starts_with("GET /v1/servers?index=1&wait=0 "), "{}", seen[0].first);
-    assert!(seen[1].first.starts_with("GET /v1/servers?index=1&wait="), "{}", seen[1].first);
+    assert!(seen[0].start_line.starts_with("GET /v1/servers?index=1&wait=0 "), "{}", seen[0].start_line);
+    assert!(seen[1].start_line.starts_with("GET /v1/servers?index=1&wait="), "{}", seen[1].start_line);
     assert_eq!(seen[0].connection, seen[1].connection);
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
@@ -888,28 +889,29 @@
     // The list of the configuration is enough while discovery is silent, and is not where it is over its bounds.
     let silent = Discovery::new(json!([]));
     silent.silence();
-    let known = Node::with(&silent, listed.clone(), bound(2));
+    let known = Node::start_with(&silent, listed.clone(), bound(2));
     assert_eq!(known.health(), Some(200));
-    let over = Node::started(&silent, listed.clone(), bound(1));
-    over.until("it listens", || over.health().is_some());
+    let over = Node::launch_with(&silent, listed.clone(), bound(1));
+    over.wait_until("it listens", || over.health().is_some());
     assert_eq!(over.health(), Some(503));
     assert!(over.log().contains("2 endpoints or more, 1 are allowed"), "{}", over.log());
     // So is a list of discovery that it refuses, until one comes that fits.
     let discovery = Discovery::new(listed.clone());
-    let refusing = Node::started(&discovery, json!([]), bound(1));
-    refusing.until("the list is refused", || refusing.log().contains("2 endpoints or more, 1 are allowed"));
-    refusing.until("it listens", || refusing.health().is_some());
+    let refusing = Node::launch_with(&discovery, json!([]), bound(1));
+    refusing
+        .wait_until("the list is refused", || refusing.log().contains("2 endpoints or more, 1 are allowed"));
+    refusing.wait_until("it listens", || refusing.health().is_some());
     assert_eq!(refusing.health(), Some(503));
-    let calls = |seen: &[Request]| seen.iter().filter(|r| r.first.contains("/v1/servers")).count();
+    let calls = |seen: &[Request]| seen.iter().filter(|r| r.start_line.contains("/v1/servers")).count();
     std::thread::sleep(Duration::from_secs(1));
     assert_eq!(calls(&discovery.peer.seen()), 1, "it is not fetched again at once");
     // An old list goes before one that is refused.
-    let old = Node::with(&discovery, json!([ready("e-1", endpoint.address, 7)]), bound(1));
-    old.until("the list is refused", || old.log().contains("2 endpoints or more, 1 are allowed"));
+    let old = Node::start_with(&discovery, json!([ready("e-1", endpoint.address, 7)]), bound(1));
+    old.wait_until("the list is refused", || old.log().contains("2 endpoints or more, 1 are allowed"));
     assert_eq!(old.health(), Some(200));
     assert_eq!(old.hand_in("alert", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
     // Discovery may have told that there is nothing.
     let none = Discovery::new(json!([]));
-    assert_eq!(Node::with(&none, json!([]), |_| {}).health(), Some(200));
+    assert_eq!(Node::start_with(&none, json!([]), |_| {}).health(), Some(200));
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -20,7 +20,7 @@
 
     fn wait(&self) {
         let closed = self.0 .0.lock().unwrap();
-        drop(self.0 .1.wait_timeout_while(closed, BOUND, |open| !*open).unwrap());
+        drop(self.0 .1.wait_timeout_while(closed, TIMEOUT, |open| !*open).unwrap());
     }
 }
 
@@ -38,18 +38,18 @@
 
 fn with_control(discovery: &Discovery) -> Node {
     let control = free_address().to_string();
-    Node::with(discovery, json!([]), move |c| c["control"] = json!(control))
+    Node::start_with(discovery, json!([]), move |c| c["control"] = json!(control))
 }
 
 fn connect(node: &Node) -> (TcpStream, BufReader<TcpStream>) {
     let stream = TcpStream::connect(node.address).unwrap();
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let reader = BufReader::new(stream.try_clone().unwrap());
     (stream, reader)
 }
 
 fn taken_on(reader: &mut BufReader<TcpStream>) {
-    assert!(read_message(reader, 0).expect("an answer").first.contains(" 202 "));
+    assert!(read_message(reader, 0).expect("an answer").start_line.contains(" 202 "));
 }
 
 #[test]
@@ -69,7 +69,7 @@
     body.write_all(&second[..second.len() - 2]).unwrap();
     // An unsafe call that is out.
     assert_eq!(node.hand_in("order", "out", 1, 16_000, b"x"), 202);
-    node.until("the call is out", || called.load(Ordering::SeqCst));
+    node.wait_until("the call is out", || called.load(Ordering::SeqCst));
 
     let mut old = node.upgrade();
     idle.write_all(&message("alert", "a1", 2, 16_000, b"x")).unwrap();
@@ -123,7 +123,7 @@
     let discovery = Discovery::new(json!([ready("e-1", slow.address, 7)]));
     let mut node = with_control(&discovery);
     (0..12).for_each(|i| assert_eq!(node.hand_in("alert", &format!("m{i}"), 7, 16_000, b"x"), 202));
-    node.until("calls are out", || called.load(Ordering::SeqCst));
+    node.wait_until("calls are out", || called.load(Ordering::SeqCst));
     let _old = node.upgrade();
     let before = slow.connections();
     assert_eq!(node.hand_in("alert", "more", 7, 16_000, b"x"), 202);
@@ -139,15 +139,15 @@
     let mut node = with_control(&discovery);
     let old = node.upgrade();
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
-    node.until("the call is out", || called.load(Ordering::SeqCst));
+    node.wait_until("the call is out", || called.load(Ordering::SeqCst));
     node.kill();
-    node.is_again(&old);
+    node.switch_back_to(&old);
     // The listener stayed open all the time: this waits for the old process at worst.
     assert_eq!(node.hand_in("alert", "n", 7, 16_000, b"x"), 202);
     gate.open();
     slow.wait_for("m", 2);
     slow.wait_for("n", 1);
-    node.until("it is ready", || node.call("GET /healthcheck") == 200);
+    node.wait_until("it is ready", || node.control("GET /healthcheck") == 200);
 }
 
 #[test]
@@ -158,11 +158,11 @@
     let mut node = with_control(&discovery);
     assert_eq!(node.hand_in("order", "unsafe", 1, 16_000, b"x"), 202);
     assert_eq!(node.hand_in("alert", "keyed", 1, 16_000, b"x"), 202);
-    node.until("a call is out", || called.load(Ordering::SeqCst));
+    node.wait_until("a call is out", || called.load(Ordering::SeqCst));
     let mut old = node.upgrade();
     old.kill();
     gate.open();
-    assert_eq!(discovery.wait_notice("unsafe")["outcome"], "given_up");
+    assert_eq!(discovery.wait_for_notice("unsafe")["outcome"], "given_up");
     slow.wait_for("keyed", 2);
     assert_eq!(node.hand_in("order", "m", 2, 16_000, b"x"), 202);
     quick.wait_for("m", 1);
@@ -176,9 +176,9 @@
     let mut node = with_control(&discovery);
     let mut old = node.upgrade();
     let before = old.control.unwrap();
-    assert_eq!(call_at(before, "GET /healthcheck"), Some(200));
-    assert_eq!(call_at(before, "PUT /endpoints/e-9/maint"), Some(404));
-    assert_eq!(call_at(before, "PUT /endpoints/e-1/maint"), Some(200));
+    assert_eq!(control_call(before, "GET /healthcheck"), Some(200));
+    assert_eq!(control_call(before, "PUT /endpoints/e-9/maint"), Some(404));
+    assert_eq!(control_call(before, "PUT /endpoints/e-1/maint"), Some(200));
     for i in 0..4 {
         assert_eq!(node.hand_in("alert", &format!("m{i}"), 7, 16_000, b"x"), 202);
         other.wait_for(&format!("m{i}"), 1);
@@ -197,7 +197,7 @@
     let discovery = Discovery::new(json!([ready("e-1", slow.address, 7)]));
     let mut node = with_control(&discovery);
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
-    node.until("the call is out", || called.load(Ordering::SeqCst));
+    node.wait_until("the call is out", || called.load(Ordering::SeqCst));
     node.config["settings"]["FamilyInfo"]["CallsOut"] = json!(4);
     let mut old = node.upgrade();
     gate.open();
@@ -216,7 +216,7 @@
     std::fs::remove_file(node.state().join("handover")).unwrap();
     std::fs::create_dir(node.state().join("handover")).unwrap();
     node.restart();
-    assert_eq!(node.call("GET /healthcheck"), 200);
+    assert_eq!(node.control("GET /healthcheck"), 200);
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
 }
