--- a/src/bin/sender/config.rs
+++ b/src/bin/sender/config.rs
@@ -1,4 +1,6 @@
-//! The environment and config.json, read at the start; discovery's address in the file again on SIGHUP.
+//! The sender's configuration: the environment and `config.json`.
+//!
+//! Both are read at the start. On SIGHUP the address of discovery is read again.
 use crate::memory;
 use catalogue::intake;
 use catalogue::Catalogue;
@@ -12,14 +14,15 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Memory of a sender whose configuration names none.
+/// The memory limit where the configuration sets none.
 const DEFAULT_MEMORY_MB: f64 = 64.0;
-const MB: f64 = (1 << 20) as f64;
-/// The member of the file that holds the list as this sender last had it.
-const KNOWN: &str = "known";
-/// A file of at most so many bytes is read again at once, a longer one on another thread.
-const SHORT_FILE: u64 = 64 << 10;
+const BYTES_PER_MB: f64 = (1 << 20) as f64;
+/// The member of the file that holds the list of endpoints that this sender last had.
+const KNOWN_LIST: &str = "known";
+/// Files of at most this many bytes are read on the event loop, longer ones on another thread.
+const SHORT_FILE_BYTES: u64 = 64 << 10;
 
+/// `limits` in the file: what the process may use.
 #[derive(Deserialize, Clone)]
 pub struct Limits {
     pub sockets: usize,
@@ -36,9 +39,9 @@
 }
 
 impl CatalogueBounds {
-    /// The bounds where `memory_mb` is what the whole sender may use.
+    /// Returns the bounds of a sender whose memory limit is `memory_mb`.
     fn limits(&self, memory_mb: f64) -> Result<catalogue::Limits, String> {
-        let mut limits = catalogue::Limits::of_memory((memory_mb * MB) as usize);
+        let mut limits = catalogue::Limits::of_memory((memory_mb * BYTES_PER_MB) as usize);
         match self.max_entries {
             Some(0) => return Err("catalogue.max_entries: has to be at least 1".into()),
             Some(entries) => limits.max_entries = usize::try_from(entries).unwrap_or(usize::MAX),
@@ -50,22 +53,22 @@
                     "catalogue.max_mb: has to be above 0 and at most limits.memory_mb, {memory_mb}"
                 ));
             }
-            Some(mb) => limits.max_bytes = (mb * MB) as usize,
+            Some(mb) => limits.max_bytes = (mb * BYTES_PER_MB) as usize,
             None => {}
         }
         Ok(limits)
     }
 }
 
-/// When what is written down has to be on disk.
+/// When records of the journal are synced to disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Sync {
-    /// Never: it outlasts the process all the same (DEPLOY, Limits).
+    /// Never. Records survive the process all the same, but not a loss of power (DEPLOY, Limits).
     #[default]
     None,
-    /// Before what follows from it: answers, calls and notices wait for one sync together.
+    /// Before the replies, calls and notices that depend on them, which share one sync.
     Group,
-    /// Each such span; what came since may go with a loss of power.
+    /// At this interval. A loss of power may cost the records since the last sync.
     Interval(Duration),
 }
 
@@ -75,13 +78,15 @@
 struct Store {
     sync: Option<String>,
     interval_ms: Option<u64>,
-    /// Seconds between two snapshots of what the module has learned; absent: none is kept.
-    learned_s: Option<u64>,
+    /// Seconds between two snapshots of what the policy has learned. No snapshots are stored if this is
+    /// absent.
+    #[serde(rename = "learned_s")]
+    snapshot_interval_s: Option<u64>,
 }
 
 impl Store {
-    fn learned(&self) -> Result<Option<Duration>, String> {
-        match self.learned_s {
+    fn snapshot_interval(&self) -> Result<Option<Duration>, String> {
+        match self.snapshot_interval_s {
             Some(seconds) if !(1..=3_600).contains(&seconds) => {
                 Err("store.learned_s: has to be from 1 to 3600".into())
             }
@@ -107,9 +112,9 @@
     }
 }
 
-/// The file but for the list `known`, which is read over here.
+/// The content of `config.json` without the list `known`, which is skipped here.
 #[derive(Deserialize)]
-struct Contents {
+struct ConfigFile {
     name: Option<String>,
     #[serde(default)]
     store: Store,
@@ -123,128 +128,140 @@
     settings: Value,
 }
 
+/// The configuration of a sender.
 #[derive(Clone)]
 pub struct Config {
-    /// The sender's name, at most as long as the journal takes it.
+    /// The sender's name, shortened to the length that the journal allows.
     pub name: String,
     pub sync: Sync,
-    /// How often what was learned is kept, if it is.
-    pub learned: Option<Duration>,
+    /// The time between two snapshots of what the policy has learned. None: no snapshots.
+    pub snapshot_interval: Option<Duration>,
+    /// The address for clients.
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// The second address, where there is one.
+    /// The control address, if the sender has one.
     pub control: Option<SocketAddr>,
-    pub state: PathBuf,
+    pub state_folder: PathBuf,
     pub seed: u64,
     pub limits: Limits,
     /// Bounds on the list of endpoints.
-    pub catalogue: catalogue::Limits,
+    pub catalogue_limits: catalogue::Limits,
     pub settings: Settings,
-    /// The settings as they stand in the file.
-    pub told: String,
+    /// The settings as the file has them.
+    pub settings_json: String,
     pub around: ProgramSettings,
 }
 
-fn var(name: &str) -> Option<String> {
+/// Returns an environment variable, unless it is empty.
+fn env_var(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|v| !v.is_empty())
 }
 
-fn path() -> Result<String, String> {
-    var("EDGE_CONFIG").ok_or("EDGE_CONFIG is not set".into())
+fn config_path() -> Result<String, String> {
+    env_var("EDGE_CONFIG").ok_or("EDGE_CONFIG is not set".into())
 }
 
-/// Bytes of the file; none where it can't be told.
-fn length() -> u64 {
-    path().ok().and_then(|path| std::fs::metadata(path).ok()).map_or(0, |file| file.len())
+/// Returns the length of the file in bytes, or 0 if it can't be determined.
+fn config_file_bytes() -> u64 {
+    config_path().ok().and_then(|path| std::fs::metadata(path).ok()).map_or(0, |file| file.len())
 }
 
-fn file() -> Result<(String, Contents), String> {
-    let path = path()?;
+fn read_file() -> Result<(String, ConfigFile), String> {
+    let path = config_path()?;
     let opened = File::open(&path).map_err(|e| format!("cannot read {path}: {e}"))?;
     let contents = serde_json::from_reader(BufReader::new(opened)).map_err(|e| format!("{path}: {e}"))?;
     Ok((path, contents))
 }
 
-/// The list of endpoints as this sender last had it, read as a stream. One that can't be used counts as none.
-pub fn known(limits: &catalogue::Limits) -> Catalogue {
-    let read = || path().and_then(|path| read_known(path.as_ref(), limits));
-    let read = if length() <= SHORT_FILE { read() } else { memory::on_list_thread(read) };
+/// Reads the list of endpoints that this sender last had, as a stream. One that can't be used counts as
+/// empty.
+pub fn read_known_list(limits: &catalogue::Limits) -> Catalogue {
+    let read = || config_path().and_then(|path| read_known_list_of(path.as_ref(), limits));
+    let read = if config_file_bytes() <= SHORT_FILE_BYTES { read() } else { memory::on_list_thread(read) };
     read.unwrap_or_else(|error| {
-        tracing::error!(%error, "the list in the configuration can't be used; going on without it");
+        tracing::error!(%error, "cannot use the list of endpoints in the configuration; starting without it");
         Catalogue::default()
     })
 }
 
-fn read_known(path: &Path, limits: &catalogue::Limits) -> Result<Catalogue, String> {
+fn read_known_list_of(path: &Path, limits: &catalogue::Limits) -> Result<Catalogue, String> {
     let opened = File::open(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-    let taken = intake::read_member(opened, KNOWN, limits);
-    let taken = taken.map_err(|e| format!("{}: {KNOWN}: {e}", path.display()))?;
+    let taken = intake::read_member(opened, KNOWN_LIST, limits);
+    let taken = taken.map_err(|e| format!("{}: {KNOWN_LIST}: {e}", path.display()))?;
     let Some(taken) = taken else { return Ok(Catalogue::default()) };
     if taken.unreadable > 0 {
-        tracing::warn!(entries = taken.unreadable, "entries of the list in the configuration can't be read");
+        tracing::warn!(
+            entries = taken.unreadable,
+            "ignored unreadable entries of the list in the configuration"
+        );
     }
-    // A list that names nothing is none: its generation says nothing of the list to come.
-    let named = !taken.catalogue.is_empty();
-    Ok(if named { taken.catalogue } else { Catalogue::default() })
+    // An empty list counts as none, so that its generation is not used to ask discovery for changes.
+    let has_endpoints = !taken.catalogue.is_empty();
+    Ok(if has_endpoints { taken.catalogue } else { Catalogue::default() })
 }
 
 fn address(name: &str, text: Option<String>) -> Result<SocketAddr, String> {
     let text = text.ok_or(format!("{name} is not set"))?;
-    text.parse().map_err(|e| format!("{name} is no address: {text}: {e}"))
+    text.parse().map_err(|e| format!("{name} is not an address: {text}: {e}"))
 }
 
-/// Where discovery is now. The file goes before the environment, as the platform can only replace the file.
-pub fn discovery() -> Result<SocketAddr, String> {
-    address("EDGE_DISCOVERY", file()?.1.discovery.or_else(|| var("EDGE_DISCOVERY")))
+/// Returns the current address of discovery. The file takes precedence over the environment, as the platform
+/// can only replace the file.
+pub fn read_discovery() -> Result<SocketAddr, String> {
+    address("EDGE_DISCOVERY", read_file()?.1.discovery.or_else(|| env_var("EDGE_DISCOVERY")))
 }
 
-/// The same, without a hold of the caller for as long as a long file takes.
-pub async fn discovery_again() -> Result<SocketAddr, String> {
-    if length() <= SHORT_FILE {
-        return discovery();
+/// Reads the address of discovery again, without blocking the event loop while a long file is parsed.
+pub async fn reload_discovery() -> Result<SocketAddr, String> {
+    if config_file_bytes() <= SHORT_FILE_BYTES {
+        return read_discovery();
     }
-    let read = tokio::task::spawn_blocking(discovery).await;
+    let read = tokio::task::spawn_blocking(read_discovery).await;
     read.unwrap_or_else(|e| Err(e.to_string()))
 }
 
+/// Reads the configuration. Errors name the variable or the member that is wrong.
 pub fn read() -> Result<Config, String> {
-    let (path, file) = file()?;
+    let (path, file) = read_file()?;
     let (settings, around) = settings::read(&file.settings).map_err(|e| format!("{path}: settings: {e}"))?;
-    let control = var("EDGE_CONTROL").or(file.control);
+    let control = env_var("EDGE_CONTROL").or(file.control);
     let sync = file.store.sync().map_err(|e| format!("{path}: {e}"))?;
-    let learned = file.store.learned().map_err(|e| format!("{path}: {e}"))?;
+    let snapshot_interval = file.store.snapshot_interval().map_err(|e| format!("{path}: {e}"))?;
     let memory_mb = file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB);
-    let catalogue = file.catalogue.limits(memory_mb).map_err(|e| format!("{path}: {e}"))?;
+    let catalogue_limits = file.catalogue.limits(memory_mb).map_err(|e| format!("{path}: {e}"))?;
     Ok(Config {
-        name: short(var("EDGE_NAME").or(file.name).unwrap_or_default()),
+        name: shorten_name(env_var("EDGE_NAME").or(file.name).unwrap_or_default()),
         sync,
-        learned,
-        listen: address("EDGE_LISTEN", var("EDGE_LISTEN").or(file.listen))?,
-        discovery: address("EDGE_DISCOVERY", file.discovery.or_else(|| var("EDGE_DISCOVERY")))?,
+        snapshot_interval,
+        listen: address("EDGE_LISTEN", env_var("EDGE_LISTEN").or(file.listen))?,
+        discovery: address("EDGE_DISCOVERY", file.discovery.or_else(|| env_var("EDGE_DISCOVERY")))?,
         control: control.map(|at| address("EDGE_CONTROL", Some(at))).transpose()?,
-        state: var("EDGE_STATE").ok_or("EDGE_STATE is not set")?.into(),
-        seed: file.seed.as_ref().map_or(0, seed),
+        state_folder: env_var("EDGE_STATE").ok_or("EDGE_STATE is not set")?.into(),
+        seed: file.seed.as_ref().map_or(0, parse_seed),
         limits: file.limits,
-        catalogue,
+        catalogue_limits,
         settings,
-        told: file.settings.to_string(),
+        settings_json: file.settings.to_string(),
         around,
     })
 }
 
-/// A name that is longer than an owner's may be is told by its beginning and a checksum.
-fn short(name: String) -> String {
-    const MOST: usize = store::frame::OWNER;
-    if name.len() <= MOST {
+/// Shortens a name that is too long for the journal's owner to its beginning and a checksum.
+fn shorten_name(name: String) -> String {
+    const MAX_BYTES: usize = store::frame::OWNER;
+    if name.len() <= MAX_BYTES {
         return name;
     }
-    let beginning: String =
-        name.char_indices().take_while(|(at, c)| at + c.len_utf8() <= MOST - 9).map(|(_, c)| c).collect();
+    let beginning: String = name
+        .char_indices()
+        .take_while(|(at, c)| at + c.len_utf8() <= MAX_BYTES - 9)
+        .map(|(_, c)| c)
+        .collect();
     format!("{beginning}~{:08x}", crc32fast::hash(name.as_bytes()))
 }
 
-/// The seed is a text in hex; any other form still gives a number of its own.
-fn seed(value: &Value) -> u64 {
+/// Parses a seed in hexadecimal. Any other value is hashed to a number.
+fn parse_seed(value: &Value) -> u64 {
     let text = value.as_str().map_or_else(|| value.to_string(), str::to_string);
     u64::from_str_radix(&text, 16).unwrap_or_else(|_| crc32fast::hash(text.as_bytes()).into())
 }
--- a/src/bin/sender/config/tests.rs
+++ b/src/bin/sender/config/tests.rs
@@ -1,4 +1,4 @@
-//! Bounds on the catalogue, and the list that stands in the file.
+//! Bounds on the catalogue, and the list of endpoints in the file.
 use super::*;
 use serde_json::json;
 use std::path::PathBuf;
@@ -7,22 +7,22 @@
     serde_json::from_value(value).unwrap()
 }
 
-/// A file that is gone once the test is over.
-struct Written(PathBuf);
+/// A configuration file that is removed at the end of the test.
+struct TempFile(PathBuf);
 
-impl Written {
-    fn new(name: &str, value: &Value) -> Written {
+impl TempFile {
+    fn new(name: &str, value: &Value) -> TempFile {
         let path = std::env::temp_dir().join(format!("sender-config-{name}-{}", std::process::id()));
         std::fs::write(&path, value.to_string()).unwrap();
-        Written(path)
+        TempFile(path)
     }
 
-    fn known(&self, limits: &catalogue::Limits) -> Result<Catalogue, String> {
-        read_known(&self.0, limits)
+    fn read_known_list(&self, limits: &catalogue::Limits) -> Result<Catalogue, String> {
+        read_known_list_of(&self.0, limits)
     }
 }
 
-impl Drop for Written {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn bounds_on_the_catalogue_follow_the_memory_where_none_are_named() {
+fn derives_catalogue_bounds_from_memory_unless_set() {
     let limits = bounds(json!({})).limits(64.0).unwrap();
     assert_eq!(limits, catalogue::Limits::of_memory(64 << 20));
     let limits = bounds(json!({"max_entries": 500_000, "max_mb": 1.5})).limits(64.0).unwrap();
@@ -47,40 +47,44 @@
 }
 
 #[test]
-fn bounds_that_make_no_sense_are_refused_by_their_place_in_the_file() {
-    for (place, value) in [
+fn names_member_of_invalid_catalogue_bound() {
+    for (member, value) in [
         ("catalogue.max_entries", json!({"max_entries": 0})),
         ("catalogue.max_mb", json!({"max_mb": 0.0})),
         ("catalogue.max_mb", json!({"max_mb": -1})),
         ("catalogue.max_mb", json!({"max_mb": 64.5})),
     ] {
         let error = bounds(value).limits(64.0).unwrap_err();
-        assert!(error.starts_with(place), "{error}");
+        assert!(error.starts_with(member), "{error}");
     }
     assert!(serde_json::from_value::<CatalogueBounds>(json!({"max_entrys": 1})).is_err());
 }
 
 #[test]
-fn the_known_list_is_read_wherever_it_stands_in_the_file() {
+fn reads_known_list_at_any_position_in_file() {
     let limits = catalogue::Limits::of_memory(64 << 20);
     let file =
-        Written::new("known", &json!({"a": {"known": 1}, "known": list(3), "settings": {"known": [2]}}));
-    let known = file.known(&limits).unwrap();
+        TempFile::new("known", &json!({"a": {"known": 1}, "known": list(3), "settings": {"known": [2]}}));
+    let known = file.read_known_list(&limits).unwrap();
     assert_eq!((known.len(), known.generation()), (3, Some(41)));
 }
 
 #[test]
-fn a_known_list_that_names_nothing_counts_as_none() {
+fn ignores_known_list_without_endpoints() {
     let limits = catalogue::Limits::of_memory(64 << 20);
     for (name, value) in [("empty", json!({"known": list(0)})), ("absent", json!({"settings": {}}))] {
-        assert_eq!(Written::new(name, &value).known(&limits).unwrap().generation(), None, "{name}");
+        assert_eq!(
+            TempFile::new(name, &value).read_known_list(&limits).unwrap().generation(),
+            None,
+            "{name}"
+        );
     }
 }
 
 #[test]
-fn a_known_list_beyond_the_bounds_is_refused_with_both_figures() {
-    let file = Written::new("bounds", &json!({"known": list(30)}));
+fn refuses_known_list_over_bounds_with_both_figures() {
+    let file = TempFile::new("bounds", &json!({"known": list(30)}));
     let limits = catalogue::Limits { max_entries: 20, max_bytes: usize::MAX };
-    let error = file.known(&limits).err().unwrap();
+    let error = file.read_known_list(&limits).err().unwrap();
     assert!(error.contains("known: ") && error.contains("21") && error.contains("20"), "{error}");
 }
--- a/src/bin/sender/control.rs
+++ b/src/bin/sender/control.rs
@@ -1,7 +1,8 @@
-//! The second address: healthchecks, and operators' calls that take endpoints out and put them back.
+//! The control address: health checks, and operators' calls that take endpoints out and put them back.
 //!
-//! One call a connection, with few places of its own: a caller that finishes nothing loses its place to the
-//! next one, so that it keeps nobody out. The core answers; nothing is decided here.
+//! It serves one request per connection, and few connections at a time. When all are in use, a new connection
+//! replaces the oldest one that has not sent its whole request, so that idle callers can't lock others out.
+//! The core decides on every reply.
 use crate::input::{Input, MaintenanceReply};
 use crate::server::{plain, wrong_method};
 use bytes::Bytes;
@@ -21,34 +22,37 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// Connections at a time, and so the most descriptors that this address takes.
-pub const PLACES: usize = 8;
-/// A caller waits a second. What has not brought its call and heard its answer by then has gone.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// Calls need no body.
+/// Most open connections, and so the most descriptors that this address uses.
+pub const MAX_CONNECTIONS: usize = 8;
+/// How long a connection may take, from its start to the end of the reply. Callers wait no longer than a
+/// second.
+const TIMEOUT: Duration = Duration::from_secs(1);
+/// Bytes of a request's body at most. No request needs one.
 const MAX_BODY: usize = 1 << 10;
 
-/// A connection, as far as the choice needs it of which to close.
-struct Caller {
-    /// Its call has come whole, and is being answered.
-    whole: Cell<bool>,
-    /// Dropped to end the connection.
-    end: RefCell<Option<oneshot::Sender<()>>>,
+/// An open connection.
+struct ControlConnection {
+    /// Whether the whole request has been received.
+    received: Cell<bool>,
+    /// Dropped to close the connection.
+    close: RefCell<Option<oneshot::Sender<()>>>,
 }
 
+/// The service on the control address.
 pub struct Control {
     core: mpsc::Sender<Input>,
-    /// Whether clients' connections are taken by this process.
+    /// Whether this process accepts clients' connections.
     pub serving: Cell<bool>,
-    /// In the order in which they came.
-    callers: RefCell<VecDeque<Rc<Caller>>>,
+    /// Open connections, the oldest first.
+    connections: RefCell<VecDeque<Rc<ControlConnection>>>,
 }
 
 impl Control {
     pub fn new(core: mpsc::Sender<Input>) -> Rc<Control> {
-        Rc::new(Control { core, serving: Cell::default(), callers: RefCell::default() })
+        Rc::new(Control { core, serving: Cell::default(), connections: RefCell::default() })
     }
 
+    /// Binds the address and serves it on a task of its own.
     pub async fn listen(self: Rc<Self>, at: SocketAddr) -> Result<(), String> {
         let listener = TcpListener::bind(at).await.map_err(|e| format!("cannot listen on {at}: {e}"))?;
         tokio::task::spawn_local(self.accept(listener));
@@ -60,50 +64,52 @@
             match listener.accept().await {
                 Ok((stream, _)) => self.clone().admit(stream),
                 Err(error) => {
-                    tracing::warn!(%error, "cannot accept a call");
+                    tracing::warn!(%error, "cannot accept a connection on the control address");
                     sleep(Duration::from_millis(20)).await;
                 }
             }
         }
     }
 
-    /// Where all places are taken, the caller that has been at its call longest loses its own.
+    /// Serves a connection. If there are too many, closes the oldest one that has not sent its whole request,
+    /// or else the oldest one.
     fn admit(self: Rc<Self>, stream: TcpStream) {
-        let (end, ended) = oneshot::channel();
-        let caller = Rc::new(Caller { whole: Cell::default(), end: RefCell::new(Some(end)) });
+        let (close, closed) = oneshot::channel();
+        let connection =
+            Rc::new(ControlConnection { received: Cell::default(), close: RefCell::new(Some(close)) });
         {
-            let mut callers = self.callers.borrow_mut();
-            if callers.len() >= PLACES {
-                let unfinished = callers.iter().position(|c| !c.whole.get());
-                callers.remove(unfinished.unwrap_or(0)).map(|c| c.end.take());
+            let mut connections = self.connections.borrow_mut();
+            if connections.len() >= MAX_CONNECTIONS {
+                let unfinished = connections.iter().position(|c| !c.received.get());
+                connections.remove(unfinished.unwrap_or(0)).map(|c| c.close.take());
             }
-            callers.push_back(caller.clone());
+            connections.push_back(connection.clone());
         }
         tokio::task::spawn_local(async move {
             tokio::select! {
-                () = self.serve(stream, &caller) => {}
-                _ = ended => {}
-                () = sleep(PATIENCE) => {}
+                () = self.serve(stream, &connection) => {}
+                _ = closed => {}
+                () = sleep(TIMEOUT) => {}
             }
-            self.callers.borrow_mut().retain(|c| !Rc::ptr_eq(c, &caller));
+            self.connections.borrow_mut().retain(|c| !Rc::ptr_eq(c, &connection));
         });
     }
 
-    async fn serve(&self, stream: TcpStream, caller: &Caller) {
+    async fn serve(&self, stream: TcpStream, connection: &ControlConnection) {
         let _ = stream.set_nodelay(true);
         let service = service_fn(|request| async move {
-            Ok::<_, Infallible>(self.answer(request, caller).await.unwrap_or_else(|refusal| refusal))
+            Ok::<_, Infallible>(self.answer(request, connection).await.unwrap_or_else(|refusal| refusal))
         });
         let mut http = hyper::server::conn::http1::Builder::new();
         if let Err(error) = http.keep_alive(false).serve_connection(TokioIo::new(stream), service).await {
-            tracing::debug!(%error, "a call broke off");
+            tracing::debug!(%error, "a control connection failed");
         }
     }
 
     async fn answer(
         &self,
         request: Request<Incoming>,
-        caller: &Caller,
+        connection: &ControlConnection,
     ) -> Result<Response<Full<Bytes>>, Response<Full<Bytes>>> {
         let (head, body) = request.into_parts();
         if head.headers.get_all(HOST).iter().count() != 1 {
@@ -112,11 +118,12 @@
         if head.headers.contains_key(TRANSFER_ENCODING) && head.headers.contains_key(CONTENT_LENGTH) {
             return Err(plain(StatusCode::BAD_REQUEST, "the body has two lengths\n"));
         }
-        // Read to its end, or the close after the answer could reset the connection and take the answer along.
+        // The body is read to its end: closing with unread data would reset the connection and could lose the
+        // reply.
         if Limited::new(body, MAX_BODY).collect().await.is_err() {
             return Err(plain(StatusCode::BAD_REQUEST, "the body is too long or can't be read\n"));
         }
-        caller.whole.set(true);
+        connection.received.set(true);
         let path: Vec<&str> = head.uri.path().split('/').skip(1).collect();
         match path[..] {
             ["healthcheck"] if matches!(head.method, Method::GET | Method::HEAD) => Ok(self.health().await),
@@ -125,7 +132,7 @@
                 if head.method != Method::PUT {
                     return Err(wrong_method("PUT"));
                 }
-                Ok(self.maint(name, change == "maint").await)
+                Ok(self.set_maintenance(name, change == "maint").await)
             }
             _ => Err(plain(StatusCode::NOT_FOUND, "no such call\n")),
         }
@@ -133,15 +140,15 @@
 
     async fn health(&self) -> Response<Full<Bytes>> {
         let (reply, ready) = oneshot::channel();
-        match self.ask(Input::HealthCheck(reply), ready).await {
+        match self.ask_core(Input::HealthCheck(reply), ready).await {
             Some(true) if self.serving.get() => plain(StatusCode::OK, "ready\n"),
             _ => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         }
     }
 
-    async fn maint(&self, name: &str, out: bool) -> Response<Full<Bytes>> {
+    async fn set_maintenance(&self, name: &str, out: bool) -> Response<Full<Bytes>> {
         let (reply, done) = oneshot::channel();
-        match self.ask(Input::Maintenance { endpoint_name: name.to_string(), out, reply }, done).await {
+        match self.ask_core(Input::Maintenance { name: name.to_string(), out, reply }, done).await {
             Some(MaintenanceReply::Done) => plain(StatusCode::OK, if out { "maint\n" } else { "ready\n" }),
             Some(MaintenanceReply::UnknownEndpoint) => plain(StatusCode::NOT_FOUND, "no such endpoint\n"),
             Some(MaintenanceReply::NotStored) | None => {
@@ -150,8 +157,9 @@
         }
     }
 
-    async fn ask<T>(&self, input: Input, reply: oneshot::Receiver<T>) -> Option<T> {
+    /// Sends an input to the core and waits for its reply.
+    async fn ask_core<T>(&self, input: Input, reply: oneshot::Receiver<T>) -> Option<T> {
         self.core.send(input).await.ok()?;
-        timeout(PATIENCE, reply).await.ok()?.ok()
+        timeout(TIMEOUT, reply).await.ok()?.ok()
     }
 }
--- a/src/bin/sender/core.rs
+++ b/src/bin/sender/core.rs
@@ -1,13 +1,14 @@
-//! The one owner of the module: events in, one round of decisions, actions out. It decides nothing itself.
+//! The event loop around the policy: it gathers inputs, has the policy decide, writes the journal and carries
+//! out the actions. It makes no decisions itself.
 use crate::client::{self, Client, Member};
 use crate::config::Config;
 use crate::directory::Directory;
 use crate::first_catalogue::FirstCatalogue;
 use crate::input::{Input, MaintenanceReply, Reply};
 use crate::journal::Journal;
-use crate::learned::{Learned, Numbers, Snapshot};
+use crate::learned::{EndpointNumbers, Snapshot, SnapshotFile};
 use crate::list_intake::release;
-use crate::maint::Maint;
+use crate::maintenance::Maintenance;
 use crate::notices::Notice;
 use crate::process_state::{
     AttemptInFlight, CancellationToken, HandoverState, HeldMessages, NumberedCatalogue, RemainingWork,
@@ -26,107 +27,118 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// What a core starts with.
+/// The state that the core starts with, as far as others need it.
 pub struct Start {
-    /// The list on which the watch goes on, and what it asks for changes since.
+    /// The list that the watch of discovery continues from.
     pub watched: Catalogue,
+    /// The generation that the watch asks for changes since; None: it asks for the whole list.
     pub generation: Option<u64>,
-    /// Whether the module has to be told of the list in force.
-    pub new_to_module: bool,
-    /// What was handed over of messages; None where no process has.
-    pub unended: Option<HeldMessages>,
+    /// Whether the policy has yet to be told of the list in force.
+    pub new_to_policy: bool,
+    /// The messages that the process before has handed over. None if there was no handover.
+    pub handed_over: Option<HeldMessages>,
 }
 
-/// How the core's work ended.
+/// Why the core has stopped.
 pub enum Stop {
-    /// By itself after `Wind`, or as nobody is left to tell it anything.
+    /// It was shut down, or no task is left that sends inputs.
     Finished,
     HandedOver(RemainingWork),
 }
 
-/// A message that the module has not ended.
-struct Held {
-    taken: Rc<AcceptedMessage>,
-    end: Ns,
+/// A message that the policy has not ended.
+struct HeldMessage {
+    message: Rc<AcceptedMessage>,
+    /// On the policy's clock.
+    deadline: Ns,
     attempts: u32,
 }
 
-struct Offered {
-    taken: Rc<AcceptedMessage>,
+/// A message that a client handed in during the current round.
+struct Submitted {
+    message: Rc<AcceptedMessage>,
     /// More than one where the same message came twice in a round.
     replies: Vec<oneshot::Sender<Reply>>,
 }
 
-impl Offered {
-    /// False if nobody is left to hear it.
-    fn answer(self, reply: Reply) -> bool {
+impl Submitted {
+    /// Replies to the clients. Returns false if none of them waits any more.
+    fn reply(self, reply: Reply) -> bool {
         self.replies.into_iter().filter_map(|r| r.send(reply).ok()).count() > 0
     }
 }
 
-/// What a round gathers before the module decides.
+/// What a round gathers before the policy decides.
 struct Round {
-    at: Instant,
+    started_at: Instant,
     events: Vec<Event>,
-    offered: BTreeMap<u64, Offered>,
-    /// Bytes of the journal that the messages of this round may come to take.
-    claimed: u64,
+    submitted: BTreeMap<u64, Submitted>,
+    /// Bytes of the journal that are reserved for the messages of this round.
+    reserved: u64,
 }
 
+/// The event loop of a sender.
 pub struct Core<F: Files = Disk> {
-    sender: Sender,
+    policy: Sender,
     settings: Settings,
     around: ProgramSettings,
     journal: Journal<F>,
-    maint: Maint,
-    learned: Option<Learned>,
+    maintenance: Maintenance,
+    snapshots: Option<SnapshotFile>,
     seed: u64,
     client: Rc<Client>,
     inbox: mpsc::Receiver<Input>,
-    /// What has come by the second address; it goes before the inbox, however much waits there.
-    asks: mpsc::Receiver<Input>,
+    /// Inputs from the control address, which are read before those in `inbox`.
+    control_inbox: mpsc::Receiver<Input>,
     notices: mpsc::UnboundedSender<Notice>,
-    start: Instant,
-    /// The module's time at `start`.
-    epoch: Ns,
-    /// The settings as they were read, to compare with the next process's.
-    told: String,
+    clock_started_at: Instant,
+    /// The policy's time at `clock_started_at`.
+    clock_start: Ns,
+    /// The settings as the configuration has them, to compare with the next process's.
+    settings_json: String,
     /// The list in force.
     directory: Rc<Directory>,
     on_demand: OnDemandList,
-    /// The list in force lacks what the next one builds on.
-    partial: bool,
-    /// Endpoints of which the module was told what operators say, by name.
-    operated: HashMap<String, EndpointId>,
-    held: BTreeMap<u64, Held>,
-    traces: HashMap<String, u64>,
-    noticing: HashSet<u64>,
-    calls: HashMap<(u64, u32), AttemptInFlight>,
-    /// Events of the core's own making, for the next round.
-    next: Vec<Event>,
+    /// The list in force lacks endpoints of the list that the next changes are based on.
+    list_incomplete: bool,
+    /// By name, the endpoints for which the policy was told what operators have set.
+    maintained: HashMap<String, EndpointId>,
+    held: BTreeMap<u64, HeldMessage>,
+    /// The numbers of the held messages, by trace id.
+    ids_by_trace: HashMap<String, u64>,
+    /// Messages whose notice has not been acknowledged.
+    noticed: HashSet<u64>,
+    attempts_in_flight: HashMap<(u64, u32), AttemptInFlight>,
+    /// Events that the core itself has caused, for the next round.
+    next_events: Vec<Event>,
     timer: Option<Ns>,
     next_id: u64,
-    wind: Option<Instant>,
-    /// Since when nothing could be written, or when that was last tried.
-    write_failed: Option<Instant>,
-    handing_over: Option<oneshot::Sender<Option<HandoverState>>>,
+    /// Set on shutdown: nothing new is begun after this time.
+    shut_down_at: Option<Instant>,
+    /// Set while the journal can't be written: when writing last failed.
+    write_failed_at: Option<Instant>,
+    handover_reply: Option<oneshot::Sender<Option<HandoverState>>>,
 }
 
-/// Where the module's clock starts: attempts of earlier processes lie before it.
+/// Where the policy's clock starts, so that attempts of earlier processes have times before it.
 const CLOCK_START: Ns = 1_000_000 * SECOND;
-/// Events of one round at most, so that a flood of them does not hold up the answers.
-const ROUND: usize = 512;
-/// Destinations without work that the module is told of in one round, after a whole list: a few tenths of a millisecond.
-const CATCH_UP: usize = 128;
-/// Rounds at most before a handover: one leaves something to do where the journal can't be written.
-const SETTLE: usize = 100;
-/// A 200 that is heard so shortly before the end of its message's time, or after it, may have been written when that
-/// time was up: it counts from when the client sent the message, and a client waits so long to be told that it is
-/// taken on. The timers' grain alone lets one pass for in time that is not.
-const CLOSE: Duration = Duration::from_millis(400);
-/// How often writing is tried again where it has failed and nothing comes that would have to be written.
-const PROBE: Duration = Duration::from_millis(250);
-const FIRST_LIST: Duration = Duration::from_millis(300);
+/// Inputs per round at most, so that a flood of them does not delay the replies.
+const MAX_ROUND_INPUTS: usize = 512;
+/// Destinations without work that the policy is told of per round after a whole list, which takes a few
+/// tenths of a millisecond.
+const MAX_DESTINATIONS_TOLD: usize = 128;
+/// Rounds at most before a handover. While the journal can't be written, each round leaves work for the next.
+const MAX_SETTLE_ROUNDS: usize = 100;
+/// A 200 that arrives this shortly before its message's deadline, or after it, may have been written past the
+/// deadline.
+///
+/// The deadline counts from when the client sent the message, and a client waits this long for the reply that
+/// accepts it. The granularity of timers alone can make a late answer look timely.
+const LATE_ANSWER_MARGIN: Duration = Duration::from_millis(400);
+/// How often writing is retried after a failure when there is nothing else to write.
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// How long a process that resumes messages from the journal waits for a list from discovery.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl<F: Files> Core<F>
 where
@@ -135,193 +147,207 @@
     pub fn new(
         config: Config,
         journal: Journal<F>,
-        maint: Maint,
+        maintenance: Maintenance,
         (directory, client): (Rc<Directory>, Rc<Client>),
         inbox: mpsc::Receiver<Input>,
-        asks: mpsc::Receiver<Input>,
+        control_inbox: mpsc::Receiver<Input>,
         notices: mpsc::UnboundedSender<Notice>,
     ) -> Core<F> {
         Core {
-            learned: Learned::new(&config),
+            snapshots: SnapshotFile::new(&config),
             seed: config.seed,
-            sender: Sender::new(config.settings.clone(), config.seed),
+            policy: Sender::new(config.settings.clone(), config.seed),
             settings: config.settings,
             around: config.around,
-            next_id: journal.live().keys().next_back().map_or(0, |id| id + 1),
+            next_id: journal.pending().keys().next_back().map_or(0, |id| id + 1),
             journal,
-            maint,
+            maintenance,
             client,
             inbox,
-            asks,
+            control_inbox,
             notices,
-            start: Instant::now(),
-            epoch: CLOCK_START,
-            told: config.told,
+            clock_started_at: Instant::now(),
+            clock_start: CLOCK_START,
+            settings_json: config.settings_json,
             directory,
             on_demand: OnDemandList::default(),
-            partial: false,
-            operated: HashMap::new(),
+            list_incomplete: false,
+            maintained: HashMap::new(),
             held: BTreeMap::new(),
-            traces: HashMap::new(),
-            noticing: HashSet::new(),
-            calls: HashMap::new(),
-            next: Vec::new(),
+            ids_by_trace: HashMap::new(),
+            noticed: HashSet::new(),
+            attempts_in_flight: HashMap::new(),
+            next_events: Vec::new(),
             timer: None,
-            wind: None,
-            write_failed: None,
-            handing_over: None,
+            shut_down_at: None,
+            write_failed_at: None,
+            handover_reply: None,
         }
     }
 
-    fn clock(&self, at: Instant) -> Ns {
-        self.epoch + at.saturating_duration_since(self.start).as_nanos() as Ns
+    /// Converts an instant to the policy's time.
+    fn policy_time(&self, at: Instant) -> Ns {
+        self.clock_start + at.saturating_duration_since(self.clock_started_at).as_nanos() as Ns
     }
 
+    /// Converts the policy's time to an instant.
     fn instant(&self, at: Ns) -> Instant {
-        self.start + Duration::from_nanos((at - self.epoch).max(0) as u64)
+        self.clock_started_at + Duration::from_nanos((at - self.clock_start).max(0) as u64)
     }
 
-    /// Takes up what the process before has handed over, or else what was learned, with the list that this process
-    /// was started with. What the one before held stands in the journal, by number.
+    /// Restores the state that the process before has handed over, or else the last snapshot, and puts a list
+    /// in force. `known` is the list of the configuration. The messages themselves are in the journal, by
+    /// number.
     pub fn start(&mut self, known: Catalogue, state: Option<HandoverState>) -> Start {
-        let handed = state.and_then(|state| self.take_over(state));
-        let (first, unended) = match handed {
-            Some((numbered, unended)) => (FirstCatalogue::handed_over(&numbered, known), Some(unended)),
-            None => (self.take_up_learned(known), None),
+        let handed = state.and_then(|state| self.restore_handover(state));
+        let (first, handed_over) = match handed {
+            Some((numbered, held)) => (FirstCatalogue::handed_over(&numbered, known), Some(held)),
+            None => (self.restore_snapshot(known), None),
         };
-        self.partial = first.is_partial();
+        self.list_incomplete = first.is_partial();
         self.directory.replace(first.in_force);
-        let FirstCatalogue { watched, generation, new_to_module, .. } = first;
-        Start { watched, generation, new_to_module, unended }
+        let FirstCatalogue { watched, generation, new_to_module: new_to_policy, .. } = first;
+        Start { watched, generation, new_to_policy, handed_over }
     }
 
-    /// Takes up what another process has decided so far; None where that was under other settings.
-    fn take_over(&mut self, state: HandoverState) -> Option<(NumberedCatalogue, HeldMessages)> {
-        if state.settings_json != self.told {
+    /// Continues from the state of another process. Returns None if that one had other settings.
+    fn restore_handover(&mut self, state: HandoverState) -> Option<(NumberedCatalogue, HeldMessages)> {
+        if state.settings_json != self.settings_json {
             tracing::warn!("the settings are new: going on from the journal alone");
             return None;
         }
-        self.sender = state.policy.after_handover(self.settings.clone());
-        self.go_on_from(state.clock);
+        self.policy = state.policy.after_handover(self.settings.clone());
+        self.continue_clock(state.clock);
         self.next_id = self.next_id.max(state.next_id);
         let calls = state.attempts_in_flight.into_iter().map(|(id, n, endpoint)| ((id, n), endpoint));
-        self.calls = calls
+        self.attempts_in_flight = calls
             .map(|(call, endpoint)| (call, AttemptInFlight { endpoint, cancel: Rc::default() }))
             .collect();
         self.client.thaw(state.idle_bounds);
         Some((state.catalogue, state.held))
     }
 
-    /// Lets the module's clock go on from a Unix time in nanoseconds.
-    fn go_on_from(&mut self, (clock, wall): (Ns, u64)) {
-        (self.start, self.epoch) = (Instant::now(), clock + wall_ns().saturating_sub(wall) as Ns);
+    /// Continues the policy's clock from a time of it and the Unix time in nanoseconds that it corresponds
+    /// to.
+    fn continue_clock(&mut self, (policy_time, unix_ns): (Ns, u64)) {
+        (self.clock_started_at, self.clock_start) =
+            (Instant::now(), policy_time + unix_time_ns().saturating_sub(unix_ns) as Ns);
     }
 
-    /// Goes on with what a process that was killed had learned, if that was kept.
-    fn take_up_learned(&mut self, known: Catalogue) -> FirstCatalogue {
-        let Some(kept) = self.learned.as_ref().and_then(|l| l.read(wall_ns())) else {
+    /// Continues from the last snapshot, if there is a usable one.
+    fn restore_snapshot(&mut self, known: Catalogue) -> FirstCatalogue {
+        let Some(snapshot) = self.snapshots.as_ref().and_then(|s| s.read(unix_time_ns())) else {
             return FirstCatalogue::known(known);
         };
-        self.sender = kept.module.after_restart(self.settings.clone(), self.seed);
-        self.go_on_from(kept.clock);
-        FirstCatalogue::restarted(&kept.numbers.endpoints, kept.numbers.next_id, known)
+        self.policy = snapshot.policy.after_restart(self.settings.clone(), self.seed);
+        self.continue_clock(snapshot.clock);
+        FirstCatalogue::restarted(&snapshot.numbers.endpoints, snapshot.numbers.next_id, known)
     }
 
-    fn keep_learned(&mut self) {
-        let clock = (self.clock(Instant::now()), wall_ns());
-        if let Some(learned) = self.learned.as_mut().filter(|l| l.due() <= Instant::now()) {
+    fn write_snapshot_if_due(&mut self) {
+        let clock = (self.policy_time(Instant::now()), unix_time_ns());
+        if let Some(snapshots) = self.snapshots.as_mut().filter(|s| s.due() <= Instant::now()) {
             let catalogue = self.directory.catalogue();
             let named = |id| Some((id, catalogue.get(id)?.name.to_string()));
-            let endpoints = self.sender.known_endpoints().filter_map(named).collect();
-            let numbers = &Numbers { endpoints, next_id: catalogue.next_id() };
-            self.sender.without_work(|module| learned.write(&Snapshot { module, clock, numbers }));
+            let endpoints = self.policy.known_endpoints().filter_map(named).collect();
+            let numbers = &EndpointNumbers { endpoints, next_id: catalogue.next_id() };
+            self.policy.without_work(|policy| snapshots.write(&Snapshot { policy, clock, numbers }));
         }
     }
 
-    /// The calls that are out.
-    pub fn calls(&self) -> HashMap<(u64, u32), AttemptInFlight> {
-        self.calls.clone()
+    /// Returns the attempts in flight, by number of the message and of the attempt.
+    pub fn attempts_in_flight(&self) -> HashMap<(u64, u32), AttemptInFlight> {
+        self.attempts_in_flight.clone()
     }
 
-    /// Takes up what the journal holds beyond what was handed over. The list of the configuration may be old, so a
-    /// fresh one is waited for, but not for long.
-    pub async fn resume(&mut self, handed: Option<HeldMessages>, new_to_module: bool) {
+    /// Resumes the messages in the journal. `handed_over` are those that the policy already knows from a
+    /// handover.
+    ///
+    /// Without a handover the list of the configuration may be old, so discovery's first list is awaited for
+    /// a short time.
+    pub async fn resume(&mut self, handed_over: Option<HeldMessages>, new_to_policy: bool) {
         let mut events = Vec::new();
-        self.heed_operators(&mut events);
-        if new_to_module {
-            self.on_demand.directory_replaced(&self.sender, &*self.directory, &mut events);
+        self.apply_maintenance(&mut events);
+        if new_to_policy {
+            self.on_demand.directory_replaced(&self.policy, &*self.directory, &mut events);
         }
-        if handed.is_none() {
-            let first = timeout(FIRST_LIST, self.inbox.recv()).await;
+        if handed_over.is_none() {
+            let first = timeout(FIRST_LIST_TIMEOUT, self.inbox.recv()).await;
             if let Ok(Some(Input::Catalogue(taken))) = first {
-                self.follow_list(taken, &mut events);
+                self.apply_list(taken, &mut events);
             }
         }
-        let handed = handed.unwrap_or_default();
-        let (now, wall) = (self.clock(Instant::now()), unix_time_ms());
-        let (mut lost, mut resumed, mut handed_over) = (Vec::new(), Vec::new(), Vec::new());
-        for (&id, live) in self.journal.live() {
-            let taken = live.accepted.clone();
-            if let Some(ending) = live.undelivered {
-                lost.push((id, taken, ending, false));
+        let handed_over = handed_over.unwrap_or_default();
+        let (now, unix_ms) = (self.policy_time(Instant::now()), unix_time_ms());
+        let (mut undelivered, mut resumed, mut known) = (Vec::new(), Vec::new(), Vec::new());
+        for (&id, pending) in self.journal.pending() {
+            let message = pending.accepted.clone();
+            if let Some(outcome) = pending.undelivered {
+                undelivered.push((id, message, outcome, false));
                 continue;
             }
-            let past: Vec<PastAttempt> = live
+            let past: Vec<PastAttempt> = pending
                 .attempts
                 .iter()
                 .map(|a| PastAttempt {
                     endpoint: self.directory.catalogue().id(&a.endpoint),
-                    sent: now - (wall - a.started_at_ms).max(0).saturating_mul(MS).min(CLOCK_START),
+                    sent: now - (unix_ms - a.started_at_ms).max(0).saturating_mul(MS).min(CLOCK_START),
                     may_have_run: !a.never_ran,
                 })
                 .collect();
-            if let Some((end, attempts)) = handed.get(&id) {
-                handed_over.push((taken, *end, *attempts));
+            if let Some((deadline, attempts)) = handed_over.get(&id) {
+                known.push((message, *deadline, *attempts));
                 continue;
             }
-            // Numbers may have a gap where one could not be written down; the module counts on from these.
+            // The policy numbers further attempts from this count. The numbers in the journal may have gaps,
+            // where an attempt could not be recorded.
             let attempts = past.len() as u32;
-            let Some(class) = position(&self.around.classes, &taken.class) else {
-                // The settings no longer have its class, so the module can't be asked.
-                let ran = past.iter().any(|p| p.may_have_run);
-                let ending = if ran { Undelivered::GivenUp } else { Undelivered::HandedBack(None) };
-                lost.push((id, taken, ending, true));
+            let Some(class) = position(&self.around.classes, &message.class) else {
+                // The policy can't decide, as the settings no longer have the message's class.
+                let may_have_run = past.iter().any(|p| p.may_have_run);
+                let outcome = if may_have_run { Undelivered::GivenUp } else { Undelivered::HandedBack(None) };
+                undelivered.push((id, message, outcome, true));
                 continue;
             };
-            let left = (taken.deadline_ms - wall).saturating_mul(MS);
-            resumed.push((taken, class, left, attempts, past));
+            let left = (message.deadline_ms - unix_ms).saturating_mul(MS);
+            resumed.push((message, class, left, attempts, past));
         }
-        // The module knows these.
-        for (taken, end, attempts) in handed_over {
-            self.hold(taken, 0, 0, end, attempts);
+        // The policy already has these, so their class and time left are not used.
+        for (message, deadline, attempts) in known {
+            self.hold(message, 0, 0, deadline, attempts);
         }
-        for (taken, class, left, attempts, past) in resumed {
-            let message = self.hold(taken, class, left, now + left, attempts);
-            self.on_demand.before_message(&self.sender, &*self.directory, message.dest, &mut events);
+        for (message, class, left, attempts, past) in resumed {
+            let message = self.hold(message, class, left, now + left, attempts);
+            self.on_demand.before_message(&self.policy, &*self.directory, message.dest, &mut events);
             events.push(Event::Resumed { message, past });
         }
-        if !self.journal.live().is_empty() {
-            tracing::info!(messages = self.held.len(), notices = lost.len(), "resumed from the journal");
+        if !self.journal.pending().is_empty() {
+            tracing::info!(
+                messages = self.held.len(),
+                notices = undelivered.len(),
+                "resumed from the journal"
+            );
         }
-        let decided = lost.iter().filter(|(.., decide)| *decide);
+        let decided = undelivered.iter().filter(|(.., decided_now)| *decided_now);
         let records: Vec<Record> =
-            decided.map(|(id, _, ending, _)| Record::NoticeStarted(*id, *ending)).collect();
-        if self.keep(&records).await == Kept::Unwritten {
-            self.owe(records);
+            decided.map(|(id, _, outcome, _)| Record::NoticeStarted(*id, *outcome)).collect();
+        if self.write_records(&records).await == Written::Failed {
+            self.write_eventually(records);
         }
-        lost.iter().for_each(|(_, taken, ending, _)| self.notify(taken, *ending));
-        self.round(Vec::new(), events).await;
+        undelivered.iter().for_each(|(_, message, outcome, _)| self.notify(message, *outcome));
+        self.run_round(Vec::new(), events).await;
     }
 
+    /// Runs rounds until the core is shut down or has handed over.
     pub async fn run(mut self) -> Stop {
         let mut inputs = Vec::new();
         loop {
-            if self.finished() {
+            if self.is_finished() {
                 self.journal.close().await;
                 return Stop::Finished;
             }
-            if let Some(reply) = self.handing_over.take() {
-                if self.wind.is_some() || !self.settle().await {
+            if let Some(reply) = self.handover_reply.take() {
+                if self.shut_down_at.is_some() || !self.settle().await {
                     let _ = reply.send(None);
                 } else {
                     self.journal.close().await;
@@ -329,92 +355,94 @@
                 }
             }
             let wake = self.timer.map(|at| self.instant(at));
-            let has_more = !self.next.is_empty() || self.on_demand.has_pending();
+            let has_more = !self.next_events.is_empty() || self.on_demand.has_pending();
             let wake = if has_more { Some(Instant::now()) } else { wake };
-            let probe = self.write_failed.map(|at| at + PROBE);
-            let learned = self.learned.as_ref().map(Learned::due);
-            let wake = [wake, self.wind, self.journal.sync_due(), probe, learned]
+            let retry = self.write_failed_at.map(|at| at + WRITE_RETRY_INTERVAL);
+            let snapshot = self.snapshots.as_ref().map(SnapshotFile::due);
+            let wake = [wake, self.shut_down_at, self.journal.next_sync(), retry, snapshot]
                 .into_iter()
                 .flatten()
-                .filter(|&w| self.started_before(w))
+                .filter(|&w| self.heeds_timer(w))
                 .min();
             tokio::select! {
                 biased;
-                Some(ask) = self.asks.recv() => inputs.push(ask),
-                count = self.inbox.recv_many(&mut inputs, ROUND) => if count == 0 { return Stop::Finished },
+                Some(input) = self.control_inbox.recv() => inputs.push(input),
+                count = self.inbox.recv_many(&mut inputs, MAX_ROUND_INPUTS) => {
+                    if count == 0 { return Stop::Finished }
+                }
                 () = async { match wake { Some(at) => sleep_until(at).await, None => std::future::pending().await } } => {}
             }
-            // Whatever else is ready on the sockets comes into the same round.
+            // Lets other tasks run, so that inputs from sockets that are ready join the same round.
             tokio::task::yield_now().await;
-            while let Ok(ask) = self.asks.try_recv() {
-                inputs.push(ask);
+            while let Ok(input) = self.control_inbox.try_recv() {
+                inputs.push(input);
             }
-            while inputs.len() < ROUND {
+            while inputs.len() < MAX_ROUND_INPUTS {
                 let Ok(input) = self.inbox.try_recv() else { break };
                 inputs.push(input);
             }
-            let mut events = std::mem::take(&mut self.next);
-            let now = self.clock(Instant::now());
+            let mut events = std::mem::take(&mut self.next_events);
+            let now = self.policy_time(Instant::now());
             if self.timer.is_some_and(|at| at <= now) {
                 self.timer = None;
                 events.push(Event::Timer);
             }
-            self.round(std::mem::take(&mut inputs), events).await;
-            self.look_after_journal().await;
-            self.keep_learned();
+            self.run_round(std::mem::take(&mut inputs), events).await;
+            self.maintain_journal().await;
+            self.write_snapshot_if_due();
         }
     }
 
-    /// Syncs by the clock, and sees whether what has failed succeeds again.
-    async fn look_after_journal(&mut self) {
+    /// Syncs periodically, and after a failure tests whether writing works again.
+    async fn maintain_journal(&mut self) {
         let now = Instant::now();
-        if self.write_failed.is_some_and(|at| now >= at + PROBE) {
-            let probed = self.journal.probe();
-            if probed.is_ok() && self.journal.syncs() {
+        if self.write_failed_at.is_some_and(|at| now >= at + WRITE_RETRY_INTERVAL) {
+            let probed = self.journal.probe_write();
+            if probed.is_ok() && self.journal.is_durable() {
                 self.sync().await;
             } else {
-                self.wrote(&probed);
+                self.note_write(&probed);
             }
         }
-        if self.journal.sync_due().is_some_and(|at| now >= at) {
+        if self.journal.next_sync().is_some_and(|at| now >= at) {
             self.sync().await;
         }
     }
 
-    /// Ends what has come and what the last rounds left to do. False if it does not come to an end.
+    /// Runs rounds until no input and no event is left. Returns false if that takes too many.
     async fn settle(&mut self) -> bool {
-        for _ in 0..SETTLE {
+        for _ in 0..MAX_SETTLE_ROUNDS {
             let mut inputs = Vec::new();
             while let Ok(input) = self.inbox.try_recv() {
                 inputs.push(input);
             }
-            if inputs.is_empty() && self.next.is_empty() && !self.on_demand.has_pending() {
+            if inputs.is_empty() && self.next_events.is_empty() && !self.on_demand.has_pending() {
                 return true;
             }
-            let mut events = std::mem::take(&mut self.next);
-            self.on_demand.tell_pending(&self.sender, &*self.directory, usize::MAX, &mut events);
-            self.round(inputs, events).await;
+            let mut events = std::mem::take(&mut self.next_events);
+            self.on_demand.tell_pending(&self.policy, &*self.directory, usize::MAX, &mut events);
+            self.run_round(inputs, events).await;
         }
         false
     }
 
-    /// From here on the next process decides, and the journal is its own.
+    /// Releases the journal and hands the state to the next process, which decides from now on.
     fn hand_over(self, reply: oneshot::Sender<Option<HandoverState>>) -> Stop {
-        let clock = (self.clock(Instant::now()), wall_ns());
+        let clock = (self.policy_time(Instant::now()), unix_time_ns());
         let catalogue =
-            NumberedCatalogue::from_catalogue(&self.directory.catalogue(), self.sender.known_endpoints());
-        // The next process has one of its own, and both share what memory there is.
+            NumberedCatalogue::from_catalogue(&self.directory.catalogue(), self.policy.known_endpoints());
+        // The next process has a list of its own, and both processes share the memory.
         release(self.directory.clear());
         let state = HandoverState {
-            settings_json: self.told,
-            policy: self.sender,
+            settings_json: self.settings_json,
+            policy: self.policy,
             clock,
             catalogue,
-            held: self.held.iter().map(|(&id, held)| (id, (held.end, held.attempts))).collect(),
+            held: self.held.iter().map(|(&id, held)| (id, (held.deadline, held.attempts))).collect(),
             attempts_in_flight: self
-                .calls
+                .attempts_in_flight
                 .iter()
-                .map(|(&(id, attempt), out)| (id, attempt, out.endpoint))
+                .map(|(&(id, number), attempt)| (id, number, attempt.endpoint))
                 .collect(),
             next_id: self.next_id,
             idle_bounds: self.client.freeze(),
@@ -423,103 +451,104 @@
         let _ = reply.send(Some(state));
         Stop::HandedOver(RemainingWork {
             inbox: self.inbox,
-            control_inbox: self.asks,
-            attempts_in_flight: self.calls,
+            control_inbox: self.control_inbox,
+            attempts_in_flight: self.attempts_in_flight,
         })
     }
 
-    /// While winding down past its time, timers no longer matter.
-    fn started_before(&self, wake: Instant) -> bool {
-        self.wind.is_none_or(|end| Instant::now() < end || wake > end)
+    /// Returns whether to wake at this time. Once the shutdown time has passed, timers up to it are ignored.
+    fn heeds_timer(&self, wake: Instant) -> bool {
+        self.shut_down_at.is_none_or(|end| Instant::now() < end || wake > end)
     }
 
-    fn winding(&self) -> bool {
-        self.wind.is_some_and(|end| Instant::now() >= end)
+    fn is_past_shutdown(&self) -> bool {
+        self.shut_down_at.is_some_and(|end| Instant::now() >= end)
     }
 
-    fn finished(&self) -> bool {
-        let calm = self.calls.is_empty() && self.noticing.is_empty();
-        self.wind.is_some() && calm && (self.held.is_empty() || self.winding())
+    fn is_finished(&self) -> bool {
+        let idle = self.attempts_in_flight.is_empty() && self.noticed.is_empty();
+        self.shut_down_at.is_some() && idle && (self.held.is_empty() || self.is_past_shutdown())
     }
 
-    /// Tells the module and the client what operators say of endpoints that have come to be listed since.
-    fn heed_operators(&mut self, events: &mut Vec<Event>) {
-        let (now, wall) = (self.clock(Instant::now()), unix_time_ms());
+    /// Tells the policy and the client of operators' changes to endpoints that have been listed since.
+    fn apply_maintenance(&mut self, events: &mut Vec<Event>) {
+        let (now, unix_ms) = (self.policy_time(Instant::now()), unix_time_ms());
         let catalogue = self.directory.catalogue();
-        for (name, back) in self.maint.all() {
+        for (name, back_at) in self.maintenance.all() {
             let Some(endpoint) = catalogue.id(name) else { continue };
-            if self.operated.insert(name.clone(), endpoint) == Some(endpoint) {
+            if self.maintained.insert(name.clone(), endpoint) == Some(endpoint) {
                 continue;
             }
-            self.client.take_out(endpoint, back.is_none());
+            self.client.take_out(endpoint, back_at.is_none());
             events.push(Event::Maint { endpoint, out: true, at: now });
-            if let Some(back) = back {
-                let ago = (wall - back).max(0).saturating_mul(MS).min(CLOCK_START);
+            if let Some(back_at) = back_at {
+                let ago = (unix_ms - back_at).max(0).saturating_mul(MS).min(CLOCK_START);
                 events.push(Event::Maint { endpoint, out: false, at: now - ago });
             }
         }
     }
 
-    /// Operators' calls repeat safely: one that changes nothing is a yes as well.
-    fn change(&mut self, name: &str, out: bool, events: &mut Vec<Event>) -> MaintenanceReply {
+    /// Carries out an operator's call. Calls are idempotent: one that changes nothing succeeds as well.
+    fn set_maintenance(&mut self, name: &str, out: bool, events: &mut Vec<Event>) -> MaintenanceReply {
         let listed = self.directory.catalogue().id(name);
-        if listed.is_none() && !self.maint.knows(name) {
+        if listed.is_none() && !self.maintenance.knows(name) {
             return MaintenanceReply::UnknownEndpoint;
         }
-        match self.maint.set(name, out) {
+        match self.maintenance.set(name, out) {
             Ok(false) => MaintenanceReply::Done,
             Ok(true) => {
                 tracing::info!(endpoint = name, out, "told by operators");
-                // One that has left the list may come back under the number that it had.
-                if let Some(endpoint) = listed.or_else(|| self.operated.get(name).copied()) {
-                    self.operated.insert(name.to_string(), endpoint);
+                // An endpoint that has left the list may return with the number that it had.
+                if let Some(endpoint) = listed.or_else(|| self.maintained.get(name).copied()) {
+                    self.maintained.insert(name.to_string(), endpoint);
                     self.client.take_out(endpoint, out);
-                    events.push(Event::Maint { endpoint, out, at: self.clock(Instant::now()) });
+                    events.push(Event::Maint { endpoint, out, at: self.policy_time(Instant::now()) });
                 }
                 MaintenanceReply::Done
             }
             Err(error) => {
-                tracing::error!(%error, endpoint = name, out, "cannot keep what operators told");
+                tracing::error!(%error, endpoint = name, out, "cannot store an operator's change");
                 MaintenanceReply::NotStored
             }
         }
     }
 
-    /// Puts a list in force that was taken in, and tells the module what concerns its work.
-    fn follow_list(&mut self, taken: intake::Taken, events: &mut Vec<Event>) {
-        let before = self.directory.replace(taken.catalogue);
-        let whole = taken.reset | std::mem::take(&mut self.partial);
+    /// Puts a new list in force, and tells the policy what changed for the destinations that it knows.
+    fn apply_list(&mut self, list: intake::Taken, events: &mut Vec<Event>) {
+        let before = self.directory.replace(list.catalogue);
+        let whole = list.reset | std::mem::take(&mut self.list_incomplete);
         if whole {
             release(before);
         }
         self.client.follow_list();
-        self.heed_operators(events);
+        self.apply_maintenance(events);
         if whole {
-            self.on_demand.directory_replaced(&self.sender, &*self.directory, events);
+            self.on_demand.directory_replaced(&self.policy, &*self.directory, events);
         } else {
-            self.on_demand.endpoints_changed(&self.sender, &*self.directory, &taken.changed, events);
+            self.on_demand.endpoints_changed(&self.policy, &*self.directory, &list.changed, events);
         }
     }
 
-    /// One round: all that has come, the module's answer to it, one write, then the actions.
-    async fn round(&mut self, inputs: Vec<Input>, events: Vec<Event>) {
-        let at = Instant::now();
-        let (now, wall) = (self.clock(at), unix_time_ms());
-        let (mut records, mut decided) = (Vec::new(), Vec::new());
-        let mut round = Round { at, events, offered: BTreeMap::new(), claimed: 0 };
-        self.on_demand.tell_pending(&self.sender, &*self.directory, CATCH_UP, &mut round.events);
+    /// Runs one round: takes the inputs, has the policy decide, writes the journal once, then carries out the
+    /// actions.
+    async fn run_round(&mut self, inputs: Vec<Input>, events: Vec<Event>) {
+        let started_at = Instant::now();
+        let (now, unix_ms) = (self.policy_time(started_at), unix_time_ms());
+        let (mut records, mut undelivered) = (Vec::new(), Vec::new());
+        let mut round = Round { started_at, events, submitted: BTreeMap::new(), reserved: 0 };
+        self.on_demand.tell_pending(&self.policy, &*self.directory, MAX_DESTINATIONS_TOLD, &mut round.events);
         for input in inputs {
             match input {
-                Input::Submit { message: taken, deadline: end, reply } => {
-                    self.offer(taken, end, reply, &mut round)
+                Input::Submit { message, deadline, reply } => {
+                    self.submit(message, deadline, reply, &mut round)
                 }
-                Input::Catalogue(taken) => self.follow_list(taken, &mut round.events),
+                Input::Catalogue(list) => self.apply_list(list, &mut round.events),
                 Input::AttemptsEnded(ends) => {
                     for end in ends {
                         let ms = end.took / MS;
                         tracing::debug!(end.id, end.attempt, end.endpoint, ?end.outcome, ms, "attempt ended");
-                        let close = self.ended(&end, at, &mut records);
-                        decided.extend(close.map(|taken| (taken, Undelivered::GivenUp)));
+                        let late = self.end_attempt(&end, started_at, &mut records);
+                        undelivered.extend(late.map(|message| (message, Undelivered::GivenUp)));
                         round.events.push(Event::AttemptEnd(end));
                     }
                 }
@@ -528,31 +557,32 @@
                 }
                 Input::NoticesAcknowledged(ids) => {
                     for id in ids {
-                        self.noticing.remove(&id);
+                        self.noticed.remove(&id);
                         records.push(Record::Ended(id));
                     }
                 }
-                Input::ShutDown(until) => self.wind = Some(until),
-                Input::HandOver(reply) => self.handing_over = Some(reply),
+                Input::ShutDown(until) => self.shut_down_at = Some(until),
+                Input::HandOver(reply) => self.handover_reply = Some(reply),
                 Input::HealthCheck(reply) => {
-                    let ready =
-                        self.write_failed.is_none() && self.wind.is_none() && self.client.has_usable();
+                    let ready = self.write_failed_at.is_none()
+                        && self.shut_down_at.is_none()
+                        && self.client.has_usable();
                     let _ = reply.send(ready);
                 }
-                Input::Maintenance { endpoint_name: name, out, reply } => {
-                    let _ = reply.send(self.change(&name, out, &mut round.events));
+                Input::Maintenance { name, out, reply } => {
+                    let _ = reply.send(self.set_maintenance(&name, out, &mut round.events));
                 }
             }
         }
-        let Round { events, mut offered, .. } = round;
+        let Round { events, mut submitted, .. } = round;
         let mut actions = Vec::new();
-        if !self.winding() {
-            self.sender.handle(now, &events, &mut actions);
+        if !self.is_past_shutdown() {
+            self.policy.handle(now, &events, &mut actions);
         }
         self.on_demand.events_handled();
         let mut calls: Vec<(EndpointId, Vec<Member>)> = Vec::new();
-        let mut begun = Vec::new();
-        let mut endings = Vec::new();
+        let mut started = Vec::new();
+        let mut failed = Vec::new();
         let mut refused = Vec::new();
         for action in actions {
             match action {
@@ -562,32 +592,32 @@
                     held.attempts += 1;
                     let name = self.directory.catalogue().get(endpoint).map(|e| e.name.to_string());
                     let Some(name) = name else {
-                        // It has left the list in this round.
-                        let end = client::end_of(id, attempt, endpoint, Outcome::NotSent, at);
-                        self.next.push(Event::AttemptEnd(end));
+                        // The endpoint has left the list in this round.
+                        let end = client::end_of(id, attempt, endpoint, Outcome::NotSent, started_at);
+                        self.next_events.push(Event::AttemptEnd(end));
                         continue;
                     };
-                    let (taken, end) = (held.taken.clone(), held.end);
+                    let (message, deadline) = (held.message.clone(), held.deadline);
                     tracing::debug!(
                         id,
                         attempt,
                         endpoint,
                         name,
-                        dest = taken.dest,
+                        dest = message.dest,
                         limit = limit / MS,
                         "send"
                     );
                     let record = StartedAttempt {
                         number: attempt,
-                        started_at_ms: wall,
+                        started_at_ms: unix_ms,
                         endpoint: name,
                         never_ran: false,
                     };
-                    begun.push(Record::AttemptStarted(id, record));
-                    let limit = if limit > 0 { (now + limit).min(end) } else { end };
-                    let (end, limit, by) = (self.instant(end), self.instant(limit), self.instant(by));
-                    let member = Member { attempt, taken, end, limit, by };
-                    // As the module counts: sends to one endpoint in one round share calls.
+                    started.push(Record::AttemptStarted(id, record));
+                    let limit = if limit > 0 { (now + limit).min(deadline) } else { deadline };
+                    let (end, limit, by) = (self.instant(deadline), self.instant(limit), self.instant(by));
+                    let member = Member { attempt, taken: message, end, limit, by };
+                    // Grouped as the policy counts them: sends to one endpoint in one round share calls.
                     let batch = self.directory.batch(endpoint);
                     match calls.iter_mut().rev().find(|(e, _)| *e == endpoint) {
                         Some((_, members)) if members.len() < batch => members.push(member),
@@ -597,21 +627,21 @@
                 Action::Refuse { id, backoff } => {
                     tracing::debug!(id, ms = backoff / MS, "handed back");
                     let backoff = (backoff > 0).then_some((backoff / MS) as u64);
-                    match offered.remove(&id) {
-                        Some(o) => refused.push((o, Reply::Refused(backoff.map(Duration::from_millis)))),
-                        None => endings.push((id, Undelivered::HandedBack(backoff))),
+                    match submitted.remove(&id) {
+                        Some(s) => refused.push((s, Reply::Refused(backoff.map(Duration::from_millis)))),
+                        None => failed.push((id, Undelivered::HandedBack(backoff))),
                     }
                 }
                 Action::Fail { id } => {
                     tracing::debug!(id, "given up");
-                    match offered.remove(&id) {
-                        Some(o) => refused.push((o, Reply::Failed)),
-                        None => endings.push((id, Undelivered::GivenUp)),
+                    match submitted.remove(&id) {
+                        Some(s) => refused.push((s, Reply::Failed)),
+                        None => failed.push((id, Undelivered::GivenUp)),
                     }
                 }
                 Action::Cancel { id, attempt } => {
-                    if let Some(out) = self.calls.get(&(id, attempt)) {
-                        out.cancel.cancel();
+                    if let Some(in_flight) = self.attempts_in_flight.get(&(id, attempt)) {
+                        in_flight.cancel.cancel();
                     }
                 }
                 Action::Probe { endpoint } => {
@@ -621,149 +651,154 @@
                 Action::Timer { at } => self.timer = Some(self.timer.map_or(at, |t| t.min(at))),
             }
         }
-        for (o, reply) in refused {
-            self.forget(o.taken.id);
-            o.answer(reply);
+        for (message, reply) in refused {
+            self.forget(message.message.id);
+            message.reply(reply);
         }
-        for &(id, ending) in &endings {
+        for &(id, outcome) in &failed {
             if let Some(held) = self.forget(id) {
-                records.push(Record::NoticeStarted(id, ending));
-                decided.push((held.taken, ending));
+                records.push(Record::NoticeStarted(id, outcome));
+                undelivered.push((held.message, outcome));
             }
         }
-        let mut all: Vec<Record> = offered.values().map(|o| Record::Accepted(o.taken.clone())).collect();
+        let mut all: Vec<Record> = submitted.values().map(|s| Record::Accepted(s.message.clone())).collect();
         all.append(&mut records);
-        let settled = all.len() - offered.len();
-        all.append(&mut begun);
-        let kept = self.keep(&all).await;
-        match kept {
-            Kept::Yes => {}
-            // What has ended has, whether that can be written or not.
-            Kept::Unwritten => self.owe(all.drain(offered.len()..).take(settled).collect()),
-            // It may be on disk or not: what is not done now is taken back.
-            Kept::Unsynced => {
-                let ends = offered.keys().map(|id| Record::Ended(*id));
-                let never = all[offered.len() + settled..].iter().filter_map(|r| match r {
-                    Record::AttemptStarted(id, begun) => Some(Record::AttemptNeverRan(*id, begun.number)),
+        let ended = all.len() - submitted.len();
+        all.append(&mut started);
+        let written = self.write_records(&all).await;
+        match written {
+            Written::Done => {}
+            // What has ended has ended, even if it can't be written now.
+            Written::Failed => self.write_eventually(all.drain(submitted.len()..).take(ended).collect()),
+            // The records may or may not be on disk, so those of what does not happen now are revoked.
+            Written::NotSynced => {
+                let ends = submitted.keys().map(|id| Record::Ended(*id));
+                let never_ran = all[submitted.len() + ended..].iter().filter_map(|r| match r {
+                    Record::AttemptStarted(id, attempt) => Some(Record::AttemptNeverRan(*id, attempt.number)),
                     _ => None,
                 });
-                self.owe(ends.chain(never).collect());
+                self.write_eventually(ends.chain(never_ran).collect());
             }
         }
-        decided.iter().for_each(|(taken, ending)| self.notify(taken, *ending));
-        if kept != Kept::Yes {
-            // Without its record nothing new is begun or taken on.
-            for (id, o) in offered {
+        undelivered.iter().for_each(|(message, outcome)| self.notify(message, *outcome));
+        if written != Written::Done {
+            // Without its record no message is accepted and no attempt is made.
+            for (id, message) in submitted {
                 self.forget(id);
-                self.next.push(Event::Withdrawn { id });
-                o.answer(Reply::Refused(Some(Duration::from_secs(1))));
+                self.next_events.push(Event::Withdrawn { id });
+                message.reply(Reply::Refused(Some(Duration::from_secs(1))));
             }
             for (endpoint, members) in calls {
                 for m in members {
                     let end = client::end(&m, endpoint, Outcome::NotSent, Instant::now());
-                    self.next.push(Event::AttemptEnd(end));
+                    self.next_events.push(Event::AttemptEnd(end));
                 }
             }
             return;
         }
-        for (id, o) in offered {
-            if !o.answer(Reply::Accepted) {
-                // The client has left without its answer: it may hand the message in again elsewhere.
-                self.next.push(Event::Withdrawn { id });
+        for (id, message) in submitted {
+            if !message.reply(Reply::Accepted) {
+                // The client has left without the reply, and may hand the message in elsewhere.
+                self.next_events.push(Event::Withdrawn { id });
                 self.forget(id);
-                self.owe(vec![Record::Ended(id)]);
+                self.write_eventually(vec![Record::Ended(id)]);
             }
         }
         for (endpoint, members) in calls {
             let cancel = Rc::new(CancellationToken::default());
             for m in &members {
-                self.calls
+                self.attempts_in_flight
                     .insert((m.taken.id, m.attempt), AttemptInFlight { endpoint, cancel: cancel.clone() });
             }
             tokio::task::spawn_local(self.client.clone().call(endpoint, members, cancel));
         }
     }
 
-    fn offer(
+    /// Takes a message that a client hands in: refuses it at once, or holds it for the policy to decide on.
+    fn submit(
         &mut self,
-        mut taken: AcceptedMessage,
-        end: Instant,
+        mut message: AcceptedMessage,
+        deadline: Instant,
         reply: oneshot::Sender<Reply>,
         round: &mut Round,
     ) {
-        if let Some(id) = self.traces.get(&taken.trace_id) {
-            // The same message once more, while it is held: it is taken on already, or shares this round's fate.
-            match round.offered.get_mut(id) {
+        if let Some(id) = self.ids_by_trace.get(&message.trace_id) {
+            // The message is held already: it was accepted before, or is handed in twice in this round.
+            match round.submitted.get_mut(id) {
                 Some(first) => first.replies.push(reply),
                 None => _ = reply.send(Reply::Accepted),
             }
             return;
         }
-        taken.id = self.next_id;
-        let room = self.journal.has_room(&taken, round.claimed);
-        let room = room.filter(|_| self.held.len() < self.settings.max_open && self.wind.is_none());
-        let (Some(claim), Some(class)) = (room, position(&self.around.classes, &taken.class)) else {
-            let after = Duration::from_nanos(self.sender.backoff(taken.dest).max(0) as u64);
-            tracing::debug!(trace = taken.trace_id, dest = taken.dest, ?after, "no room");
+        message.id = self.next_id;
+        let space = self.journal.space_for(&message, round.reserved);
+        let space = space.filter(|_| self.held.len() < self.settings.max_open && self.shut_down_at.is_none());
+        let (Some(space), Some(class)) = (space, position(&self.around.classes, &message.class)) else {
+            let after = Duration::from_nanos(self.policy.backoff(message.dest).max(0) as u64);
+            tracing::debug!(trace = message.trace_id, dest = message.dest, ?after, "no room");
             let _ = reply.send(Reply::Refused(Some(after)));
             return;
         };
-        round.claimed += claim;
+        round.reserved += space;
         self.next_id += 1;
-        let taken = Rc::new(taken);
-        let left = end.saturating_duration_since(round.at).as_nanos() as Ns;
-        let message = self.hold(taken.clone(), class, left, self.clock(end), 0);
-        self.on_demand.before_message(&self.sender, &*self.directory, message.dest, &mut round.events);
+        let accepted = Rc::new(message);
+        let left = deadline.saturating_duration_since(round.started_at).as_nanos() as Ns;
+        let message = self.hold(accepted.clone(), class, left, self.policy_time(deadline), 0);
+        self.on_demand.before_message(&self.policy, &*self.directory, message.dest, &mut round.events);
         round.events.push(Event::Message(message));
-        round.offered.insert(taken.id, Offered { taken, replies: vec![reply] });
+        round.submitted.insert(accepted.id, Submitted { message: accepted, replies: vec![reply] });
     }
 
-    /// Enters a message that the module is about to be told of.
+    /// Adds a message to those held, and returns it as the policy is to be told of it.
     fn hold(
         &mut self,
-        taken: Rc<AcceptedMessage>,
+        message: Rc<AcceptedMessage>,
         class: usize,
         left: Ns,
-        end: Ns,
+        deadline: Ns,
         attempts: u32,
     ) -> Message {
-        let (id, dest) = (taken.id, taken.dest);
-        let tenant = position(&self.around.tenants, &taken.tenant).unwrap_or(0);
-        // By its own id a message can be followed from sender to sender; all else here goes by the number.
+        let (id, dest) = (message.id, message.dest);
+        let tenant = position(&self.around.tenants, &message.tenant).unwrap_or(0);
+        // Links the trace id, which is the same in every sender, to the number that other log lines of this
+        // one use.
         tracing::debug!(
             id,
-            trace = taken.trace_id,
-            class = taken.class,
+            trace = message.trace_id,
+            class = message.class,
             dest,
             ms = left / MS,
             attempts,
             "held"
         );
-        self.traces.insert(taken.trace_id.clone(), id);
-        self.held.insert(id, Held { taken, end, attempts });
+        self.ids_by_trace.insert(message.trace_id.clone(), id);
+        self.held.insert(id, HeldMessage { message, deadline, attempts });
         Message { id, class, dest, time_left: left, cost: 0, key: None, tenant }
     }
 
-    fn notify(&mut self, taken: &AcceptedMessage, ending: Undelivered) {
-        self.noticing.insert(taken.id);
-        let _ = self.notices.send(Notice { id: taken.id, trace: taken.trace_id.clone(), ending });
+    /// Queues the notice of how a message ended.
+    fn notify(&mut self, message: &AcceptedMessage, ending: Undelivered) {
+        self.noticed.insert(message.id);
+        let _ = self.notices.send(Notice { id: message.id, trace: message.trace_id.clone(), ending });
     }
 
-    /// Books an attempt's end. What comes back was delivered too close to its time's end to be over by that alone.
-    fn ended(
+    /// Records the end of an attempt. Returns the message if it was delivered so late that it needs a notice
+    /// as well.
+    fn end_attempt(
         &mut self,
         end: &AttemptEnd,
         at: Instant,
         records: &mut Vec<Record>,
     ) -> Option<Rc<AcceptedMessage>> {
-        self.calls.remove(&(end.id, end.attempt));
-        let left = self.held.get(&end.id)?.end - self.clock(at);
+        self.attempts_in_flight.remove(&(end.id, end.attempt));
+        let left = self.held.get(&end.id)?.deadline - self.policy_time(at);
         if end.done {
             let held = self.forget(end.id)?;
-            if end.outcome == Outcome::Served && left < CLOSE.as_nanos() as Ns {
-                // Where it was not in time it has no end yet, and where it was a notice does no harm.
+            if end.outcome == Outcome::Served && left < LATE_ANSWER_MARGIN.as_nanos() as Ns {
+                // If the answer was late the message still needs its notice; if it was in time a notice does
+                // no harm.
                 records.push(Record::NoticeStarted(end.id, Undelivered::GivenUp));
-                return Some(held.taken);
+                return Some(held.message);
             }
             records.push(Record::Ended(end.id));
         } else if end.outcome.never_ran() {
@@ -772,78 +807,84 @@
         None
     }
 
-    fn forget(&mut self, id: u64) -> Option<Held> {
+    fn forget(&mut self, id: u64) -> Option<HeldMessage> {
         let held = self.held.remove(&id)?;
-        self.traces.remove(&held.taken.trace_id);
+        self.ids_by_trace.remove(&held.message.trace_id);
         Some(held)
     }
 
-    /// Writes records down, and syncs them where that goes before all that follows from them.
-    async fn keep(&mut self, records: &[Record]) -> Kept {
+    /// Writes records, and syncs them if replies, calls or notices that depend on them have to wait for that.
+    async fn write_records(&mut self, records: &[Record]) -> Written {
         if records.is_empty() {
-            return Kept::Yes;
+            return Written::Done;
         }
-        let written = self.journal.write(records);
-        self.wrote(&written);
-        if written.is_err() {
-            return Kept::Unwritten;
+        let result = self.journal.write(records);
+        self.note_write(&result);
+        if result.is_err() {
+            return Written::Failed;
         }
-        let follows = |r: &Record| {
+        let has_effects = |r: &Record| {
             matches!(r, Record::Accepted(_) | Record::AttemptStarted(..) | Record::NoticeStarted(..))
         };
-        let waits = self.journal.in_groups() && records.iter().any(follows);
-        if waits && !self.sync().await {
-            return Kept::Unsynced;
+        let needs_sync = self.journal.syncs_before_effects() && records.iter().any(has_effects);
+        if needs_sync && !self.sync().await {
+            return Written::NotSynced;
         }
-        Kept::Yes
+        Written::Done
     }
 
+    /// Syncs the journal. Returns whether that succeeded.
     async fn sync(&mut self) -> bool {
-        let synced = self.journal.sync().await;
-        match &synced {
-            Ok(()) => self.writes_again(),
-            Err(_) => self.wrote(&synced),
+        let result = self.journal.sync().await;
+        match &result {
+            Ok(()) => self.note_recovery(),
+            Err(_) => self.note_write(&result),
         }
-        synced.is_ok()
+        result.is_ok()
     }
 
-    fn owe(&mut self, records: Vec<Record>) {
+    /// Writes records of what has already happened, now or as soon as writing succeeds.
+    fn write_eventually(&mut self, records: Vec<Record>) {
         if !records.is_empty() {
-            let written = self.journal.owe(records);
-            self.wrote(&written);
+            let result = self.journal.write_eventually(records);
+            self.note_write(&result);
         }
     }
 
-    fn wrote(&mut self, result: &std::io::Result<()>) {
+    /// Notes the result of a write. If the journal is ever synced, only a sync proves that writing works
+    /// again.
+    fn note_write(&mut self, result: &std::io::Result<()>) {
         match result {
             Err(error) => {
-                if self.write_failed.replace(Instant::now()).is_none() {
+                if self.write_failed_at.replace(Instant::now()).is_none() {
                     tracing::error!(%error, "cannot write the journal; nothing new is taken on");
                 }
             }
-            Ok(()) if self.journal.syncs() => {}
-            Ok(()) => self.writes_again(),
+            Ok(()) if self.journal.is_durable() => {}
+            Ok(()) => self.note_recovery(),
         }
     }
 
-    fn writes_again(&mut self) {
-        if self.write_failed.take().is_some() {
+    fn note_recovery(&mut self) {
+        if self.write_failed_at.take().is_some() {
             tracing::info!("the journal can be written again");
         }
     }
 }
 
-/// Whether records hold.
+/// The result of writing records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kept {
-    Yes,
-    /// Nothing of them does.
-    Unwritten,
-    /// They are written, and may be lost with the power.
-    Unsynced,
+enum Written {
+    /// The records are as durable as the configuration asks for.
+    Done,
+    /// None of the records was written.
+    Failed,
+    /// The records were written, and a loss of power may undo that.
+    NotSynced,
 }
 
-fn wall_ns() -> u64 {
+/// Returns the current Unix time in nanoseconds.
+fn unix_time_ns() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as u64)
 }
 
--- a/src/bin/sender/core/tests.rs
+++ b/src/bin/sender/core/tests.rs
@@ -1,7 +1,7 @@
-//! The core on a disk whose syncs a test holds back or fails.
+//! Tests of the core on a disk whose syncs block or fail as the test asks.
 use super::*;
 use crate::config::{self, Sync};
-use crate::journal::How;
+use crate::journal::JournalOptions;
 use crate::owner::Owner;
 use bytes::Bytes;
 use serde_json::json;
@@ -16,8 +16,10 @@
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
 
-const BOUND: Duration = Duration::from_secs(10);
+/// How long a test waits for anything at most.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
+/// What a sync does: succeed, block, or fail.
 #[derive(Clone, Copy, PartialEq)]
 enum Gate {
     Open,
@@ -25,18 +27,19 @@
     Fails,
 }
 
-/// The state of the gate, and syncs that have come to it.
-struct Held {
+struct SyncState {
     gate: Gate,
-    syncs: usize,
+    /// SyncControl that were begun.
+    begun: usize,
 }
 
+/// Controls the syncs of a disk.
 #[derive(Clone)]
-struct Syncs(Arc<(Mutex<Held>, Condvar)>);
+struct SyncControl(Arc<(Mutex<SyncState>, Condvar)>);
 
-impl Syncs {
-    fn new() -> Syncs {
-        Syncs(Arc::new((Mutex::new(Held { gate: Gate::Open, syncs: 0 }), Condvar::new())))
+impl SyncControl {
+    fn new() -> SyncControl {
+        SyncControl(Arc::new((Mutex::new(SyncState { gate: Gate::Open, begun: 0 }), Condvar::new())))
     }
 
     fn set(&self, gate: Gate) {
@@ -45,26 +48,27 @@
     }
 
     fn count(&self) -> usize {
-        self.0 .0.lock().unwrap().syncs
+        self.0 .0.lock().unwrap().begun
     }
 
-    fn pass(&self) -> io::Result<()> {
-        let mut held = self.0 .0.lock().unwrap();
-        held.syncs += 1;
-        // Bounded, so that a test that fails ends.
-        let (held, _) = self.0 .1.wait_timeout_while(held, BOUND, |h| h.gate == Gate::Closed).unwrap();
-        match held.gate {
+    fn sync(&self) -> io::Result<()> {
+        let mut state = self.0 .0.lock().unwrap();
+        state.begun += 1;
+        // With a timeout, so that a failing test ends.
+        let (state, _) = self.0 .1.wait_timeout_while(state, TIMEOUT, |s| s.gate == Gate::Closed).unwrap();
+        match state.gate {
             Gate::Fails => Err(io::Error::other("the disk fails")),
             _ => Ok(()),
         }
     }
 }
 
-struct Gated(Disk, Syncs);
-struct GatedFile(File, Syncs);
+/// A disk whose files sync as the control says.
+struct ControlledDisk(Disk, SyncControl);
+struct ControlledFile(File, SyncControl);
 
-impl Files for Gated {
-    type File = GatedFile;
+impl Files for ControlledDisk {
+    type File = ControlledFile;
 
     fn names(&self) -> io::Result<Vec<String>> {
         self.0.names()
@@ -75,8 +79,8 @@
     fn head(&self, name: &str, length: usize) -> io::Result<Vec<u8>> {
         self.0.head(name, length)
     }
-    fn create(&self, name: &str) -> io::Result<GatedFile> {
-        Ok(GatedFile(self.0.create(name)?, self.1.clone()))
+    fn create(&self, name: &str) -> io::Result<ControlledFile> {
+        Ok(ControlledFile(self.0.create(name)?, self.1.clone()))
     }
     fn cut(&self, name: &str, length: u64) -> io::Result<()> {
         self.0.cut(name, length)
@@ -92,18 +96,19 @@
     }
 }
 
-impl Append for GatedFile {
+impl Append for ControlledFile {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.0.append(bytes)
     }
     fn sync(&mut self) -> io::Result<()> {
-        self.1.pass()
+        self.1.sync()
     }
-    fn another(&self) -> io::Result<GatedFile> {
-        Ok(GatedFile(self.0.another()?, self.1.clone()))
+    fn another(&self) -> io::Result<ControlledFile> {
+        Ok(ControlledFile(self.0.another()?, self.1.clone()))
     }
 }
 
+/// A temporary state folder.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -121,14 +126,14 @@
     }
 }
 
-fn how(folder: &Path) -> How<'_> {
-    How { folder, name: "n0", disk_mb: 3.0, max_attempts: 3, sync: Sync::Group }
+fn options(folder: &Path) -> JournalOptions<'_> {
+    JournalOptions { folder, name: "n0", disk_mb: 3.0, max_attempts: 3, sync: Sync::Group }
 }
 
-fn journal(folder: &Path, syncs: &Syncs) -> Journal<Gated> {
-    let owner = Owner::claim(folder).unwrap().expect("nobody else has it");
-    let files = Gated(Disk::new(&folder.join("journal")), syncs.clone());
-    Journal::on(files, owner, &how(folder)).unwrap()
+fn journal(folder: &Path, syncs: &SyncControl) -> Journal<ControlledDisk> {
+    let owner = Owner::claim(folder).unwrap().expect("no other process owns the folder");
+    let files = ControlledDisk(Disk::new(&folder.join("journal")), syncs.clone());
+    Journal::open_files(files, owner, &options(folder)).unwrap()
 }
 
 fn config(folder: &Path) -> Config {
@@ -148,16 +153,16 @@
     Config {
         name: "n0".into(),
         sync: Sync::Group,
-        learned: None,
+        snapshot_interval: None,
         listen: nowhere,
         discovery: nowhere,
         control: None,
-        state: folder.to_path_buf(),
+        state_folder: folder.to_path_buf(),
         seed: 1,
         limits: config::Limits { sockets: 64, disk_mb: 3.0, memory_mb: None },
-        catalogue: catalogue::Limits::of_memory(64 << 20),
+        catalogue_limits: catalogue::Limits::of_memory(64 << 20),
         settings: read,
-        told: settings.to_string(),
+        settings_json: settings.to_string(),
         around,
     }
 }
@@ -181,12 +186,13 @@
     at
 }
 
-fn offer(id: &str) -> (Input, oneshot::Receiver<Reply>) {
-    offer_to(7, id)
+/// A message for destination 7, and the reply to it.
+fn submission(id: &str) -> (Input, oneshot::Receiver<Reply>) {
+    submission_to(7, id)
 }
 
-fn offer_to(dest: u64, id: &str) -> (Input, oneshot::Receiver<Reply>) {
-    let taken = AcceptedMessage {
+fn submission_to(dest: u64, id: &str) -> (Input, oneshot::Receiver<Reply>) {
+    let message = AcceptedMessage {
         id: 0,
         class: "order".into(),
         tenant: "acme".into(),
@@ -197,13 +203,13 @@
         body: Bytes::from_static(b"body"),
     };
     let (reply, answer) = oneshot::channel();
-    (Input::Submit { message: taken, deadline: Instant::now() + Duration::from_secs(16), reply }, answer)
+    (Input::Submit { message, deadline: Instant::now() + Duration::from_secs(16), reply }, answer)
 }
 
-async fn until(what: &str, so: impl Fn() -> bool) {
-    let until = Instant::now() + BOUND;
-    while !so() {
-        assert!(Instant::now() < until, "waited in vain until {what}");
+async fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let until = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < until, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
@@ -213,50 +219,53 @@
     catalogue::intake::read(bytes.as_bytes(), &Catalogue::default(), &limits).unwrap().catalogue
 }
 
-/// A list of one endpoint of destination 7.
-fn one_listed(name: &str, at: std::net::SocketAddr, generation: u64) -> Catalogue {
+/// A list with one endpoint of destination 7.
+fn list_of_one(name: &str, at: std::net::SocketAddr, generation: u64) -> Catalogue {
     read_list(&json!({"generation": generation, "reset": true, "instances": [{"instanceId": name,
         "hostPort": at.to_string(), "zone": "z", "machineType": "plain", "cell": 7, "lifecycle": "Ready",
         "weight": 1.0, "startedAtMs": 0}]}))
 }
 
-/// A core that serves on such a disk: its inbox, its syncs, and the calls that its endpoint gets.
-async fn started(folder: &Path) -> (mpsc::Sender<Input>, Syncs, Rc<Cell<usize>>) {
+/// Starts a core on such a disk. Returns its inbox, the control of its syncs, and the count of calls to its
+/// endpoint.
+async fn start_core(folder: &Path) -> (mpsc::Sender<Input>, SyncControl, Rc<Cell<usize>>) {
     let calls = Rc::new(Cell::new(0));
     let at = endpoint(calls.clone()).await;
-    let (core_in, syncs, _) = started_with(folder, one_listed("e-1", at, 1), |_| None).await;
+    let (core_in, syncs, _) = start_core_with(folder, list_of_one("e-1", at, 1), |_| None).await;
     (core_in, syncs, calls)
 }
 
-/// The same with a list and what another process may have handed over; also what its watch goes on from.
-async fn started_with(
+/// Starts a core with a list and perhaps a handed-over state. Returns also the list that its watch continues
+/// from.
+async fn start_core_with(
     folder: &Path,
     known: Catalogue,
     state: impl Fn(&Config) -> Option<HandoverState>,
-) -> (mpsc::Sender<Input>, Syncs, Catalogue) {
-    let syncs = Syncs::new();
+) -> (mpsc::Sender<Input>, SyncControl, Catalogue) {
+    let syncs = SyncControl::new();
     let config = config(folder);
     let state = state(&config);
     let (core_in, inbox) = mpsc::channel(64);
-    let (_, asks) = mpsc::channel(1);
+    let (_, control_inbox) = mpsc::channel(1);
     let (notices, _) = mpsc::unbounded_channel();
     let directory = Rc::new(Directory::new(&config.around, &config.settings.kinds));
     let client = Client::new(core_in.clone(), directory.clone(), 1_000_000_000, 20_000_000_000, 32);
     let listed = (directory, Rc::new(client));
-    let maint = Maint::open(folder, 1).unwrap();
-    let mut core = Core::new(config, journal(folder, &syncs), maint, listed, inbox, asks, notices);
+    let maintenance = Maintenance::open(folder, 1).unwrap();
+    let mut core =
+        Core::new(config, journal(folder, &syncs), maintenance, listed, inbox, control_inbox, notices);
     let start = core.start(known, state);
-    core.resume(start.unended, start.new_to_module).await;
+    core.resume(start.handed_over, start.new_to_policy).await;
     spawn_local(core.run());
     (core_in, syncs, start.watched)
 }
 
-/// What a process has handed over whose module knows nothing, of a list of a generation.
+/// The handed-over state of a process with an empty policy and a list of this generation.
 fn handed_over(config: &Config, generation: u64) -> HandoverState {
     HandoverState {
-        settings_json: config.told.clone(),
+        settings_json: config.settings_json.clone(),
         policy: Sender::new(config.settings.clone(), 1),
-        clock: (CLOCK_START, wall_ns()),
+        clock: (CLOCK_START, unix_time_ns()),
         catalogue: NumberedCatalogue {
             endpoints: Vec::new(),
             whole: false,
@@ -270,39 +279,39 @@
     }
 }
 
+/// The input for changes of the list.
 fn changes(catalogue: Catalogue, changed: Vec<EndpointId>) -> Input {
     let (generation, entries) = (catalogue.generation().unwrap_or(0), changed.len());
     Input::Catalogue(intake::Taken { catalogue, generation, reset: false, changed, entries, unreadable: 0 })
 }
 
-fn on_one_thread(test: impl Future<Output = ()>) {
+fn run_on_one_thread(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, test);
 }
 
 #[test]
-fn in_groups_no_answer_and_no_call_goes_before_the_sync_and_one_sync_serves_all_that_wait() {
+fn group_sync_precedes_replies_and_calls_and_is_shared() {
     let folder = Folder::new("group");
-    on_one_thread(async {
-        let (core, syncs, calls) = started(&folder.0).await;
-        // The segment is begun with syncs of its own.
-        let (input, answer) = offer("m0");
+    run_on_one_thread(async {
+        let (core, syncs, calls) = start_core(&folder.0).await;
+        // Creating the segment takes syncs of its own, so the first message is not counted.
+        let (input, answer) = submission("m0");
         core.send(input).await.unwrap();
         assert!(matches!(answer.await, Ok(Reply::Accepted)));
-        until("it is delivered", || calls.get() == 1).await;
+        wait_until("the message is delivered", || calls.get() == 1).await;
         let before = syncs.count();
         syncs.set(Gate::Closed);
-        let (input, first) = offer("m1");
+        let (input, first) = submission("m1");
         core.send(input).await.unwrap();
-        until("the first sync is asked for", || syncs.count() == before + 1).await;
-        // These wait for the same disk.
+        wait_until("the first sync is asked for", || syncs.count() == before + 1).await;
         let mut others = Vec::new();
         for number in 2..=20 {
-            let (input, answer) = offer(&format!("m{number}"));
+            let (input, answer) = submission(&format!("m{number}"));
             core.send(input).await.unwrap();
             others.push(answer);
         }
-        // Whatever could go out without the sync has had its time.
+        // Gives replies and calls that don't wait for the sync the time to appear.
         for _ in 0..200 {
             tokio::task::yield_now().await;
         }
@@ -314,20 +323,21 @@
         for answer in others {
             assert!(matches!(answer.await, Ok(Reply::Accepted)));
         }
-        // One for the first and one for all that came meanwhile; calls that begin later have theirs.
+        // One sync for the first message and one for all that came meanwhile; calls that start later need
+        // their own.
         let count = syncs.count() - before;
         assert!((2..8).contains(&count), "{count} syncs for 20 messages");
-        until("all are delivered", || calls.get() == 21).await;
+        wait_until("all are delivered", || calls.get() == 21).await;
     });
 }
 
 #[test]
-fn a_sync_that_fails_takes_nothing_on_calls_nobody_and_leaves_nothing_to_the_next_process() {
+fn failed_sync_accepts_nothing_and_leaves_nothing_to_next_process() {
     let folder = Folder::new("fails");
-    on_one_thread(async {
-        let (core, syncs, calls) = started(&folder.0).await;
+    run_on_one_thread(async {
+        let (core, syncs, calls) = start_core(&folder.0).await;
         syncs.set(Gate::Fails);
-        let (input, answer) = offer("m1");
+        let (input, answer) = submission("m1");
         core.send(input).await.unwrap();
         assert!(matches!(answer.await, Ok(Reply::Refused(Some(_)))));
         let healthy = || async {
@@ -337,61 +347,61 @@
         };
         assert!(!healthy().await);
         syncs.set(Gate::Open);
-        let until = Instant::now() + BOUND;
+        let until = Instant::now() + TIMEOUT;
         while !healthy().await {
-            assert!(Instant::now() < until, "it stays unhealthy");
+            assert!(Instant::now() < until, "timed out waiting until the sender is healthy");
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         assert_eq!(calls.get(), 0);
-        let (input, answer) = offer("m2");
+        let (input, answer) = submission("m2");
         core.send(input).await.unwrap();
         assert!(matches!(answer.await, Ok(Reply::Accepted)));
         drop(core);
     });
-    // As a process that is killed now leaves it.
-    let syncs = Syncs::new();
-    let left = journal(&folder.0, &syncs);
-    assert!(left.live().values().all(|owed| owed.accepted.trace_id != "m1"));
+    // The journal as a process that is killed now leaves it.
+    let syncs = SyncControl::new();
+    let journal = journal(&folder.0, &syncs);
+    assert!(journal.pending().values().all(|m| m.accepted.trace_id != "m1"));
 }
 
 #[test]
-fn what_an_old_list_names_beyond_a_handover_is_called_once_the_first_answer_has_come() {
+fn endpoint_missing_from_handover_is_called_after_first_list() {
     let folder = Folder::new("partial");
-    on_one_thread(async {
+    run_on_one_thread(async {
         let calls = Rc::new(Cell::new(0));
         let at = endpoint(calls.clone()).await;
-        let known = one_listed("e-1", at, 1);
-        let (core, _, watched) = started_with(&folder.0, known, |c| Some(handed_over(c, 2))).await;
-        let (input, answer) = offer("m1");
+        let known = list_of_one("e-1", at, 1);
+        let (core, _, watched) = start_core_with(&folder.0, known, |c| Some(handed_over(c, 2))).await;
+        let (input, answer) = submission("m1");
         core.send(input).await.unwrap();
         assert!(matches!(answer.await, Ok(Reply::Accepted)));
         for _ in 0..200 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(calls.get(), 0, "the process before may have been told that it is gone");
-        // Nothing has changed since, so that the answer names nothing.
+        assert_eq!(calls.get(), 0, "the list of the process before may have dropped the endpoint");
+        // Nothing has changed since, so discovery's answer is empty.
         core.send(changes(watched, Vec::new())).await.unwrap();
-        until("it is delivered", || calls.get() == 1).await;
+        wait_until("the message is delivered", || calls.get() == 1).await;
     });
 }
 
 #[test]
-fn what_operators_took_out_before_a_list_named_it_gets_nothing_until_they_put_it_back() {
+fn endpoint_taken_out_before_it_is_listed_gets_no_calls_until_put_back() {
     let folder = Folder::new("unlisted");
     std::fs::write(folder.0.join("maint"), r#"{"out": ["e-1"]}"#).unwrap();
-    on_one_thread(async {
+    run_on_one_thread(async {
         let calls = Rc::new(Cell::new(0));
         let at = endpoint(calls.clone()).await;
-        let (core, ..) = started_with(&folder.0, Catalogue::default(), |_| None).await;
-        let (input, answer) = offer("m1");
+        let (core, ..) = start_core_with(&folder.0, Catalogue::default(), |_| None).await;
+        let (input, answer) = submission("m1");
         core.send(input).await.unwrap();
         assert!(matches!(answer.await, Ok(Reply::Accepted)));
-        let listed = one_listed("e-1", at, 1);
+        let listed = list_of_one("e-1", at, 1);
         let id = listed.id("e-1").unwrap();
         core.send(changes(listed, vec![id])).await.unwrap();
         let change = |name: &str| {
             let (reply, change) = oneshot::channel();
-            (Input::Maintenance { endpoint_name: name.into(), out: false, reply }, change)
+            (Input::Maintenance { name: name.into(), out: false, reply }, change)
         };
         let (input, unknown) = change("e-2");
         core.send(input).await.unwrap();
@@ -403,16 +413,16 @@
         let (input, done) = change("e-1");
         core.send(input).await.unwrap();
         assert_eq!(done.await, Ok(MaintenanceReply::Done));
-        until("it is delivered", || calls.get() == 1).await;
+        wait_until("the message is delivered", || calls.get() == 1).await;
     });
 }
 
 #[test]
-fn what_the_module_was_not_told_of_a_whole_list_is_told_before_a_handover() {
-    // More than are told at once.
+fn policy_is_told_of_whole_list_before_handover() {
+    // More destinations than the policy is told of at once.
     const DESTINATIONS: u64 = 300;
     let folder = Folder::new("behind");
-    on_one_thread(async {
+    run_on_one_thread(async {
         let calls = Rc::new(Cell::new(0));
         let at = endpoint(calls.clone()).await;
         let listed = |name: &str, generation: u64| {
@@ -429,20 +439,20 @@
             catalogue::intake::read(list.as_bytes(), current, &limits).unwrap()
         };
         let first = read(listed("old", 1), &Catalogue::default()).catalogue;
-        let (core_in, _, _) = started_with(&folder.0, first.clone(), |_| None).await;
+        let (core_in, _, _) = start_core_with(&folder.0, first.clone(), |_| None).await;
         for dest in 0..DESTINATIONS {
-            let (input, answer) = offer_to(dest, &format!("m-{dest}"));
+            let (input, answer) = submission_to(dest, &format!("m-{dest}"));
             core_in.send(input).await.unwrap();
             assert!(matches!(answer.await, Ok(Reply::Accepted)));
-            until("it is delivered", || calls.get() as u64 == dest + 1).await;
+            wait_until("the message is delivered", || calls.get() as u64 == dest + 1).await;
         }
-        // Both come in one round.
+        // Both inputs are taken in one round.
         let second = read(listed("new", 2), &first);
         let new = second.catalogue.clone();
         let (reply, state) = oneshot::channel();
         core_in.try_send(Input::Catalogue(second)).unwrap();
         core_in.try_send(Input::HandOver(reply)).unwrap();
-        let state = state.await.unwrap().expect("it hands over");
+        let state = state.await.unwrap().expect("the core hands over");
         let told = new.ids().filter(|&endpoint| state.policy.knows_endpoint(endpoint)).count();
         assert_eq!(told as u64, DESTINATIONS);
     });
--- a/src/bin/sender/handover.rs
+++ b/src/bin/sender/handover.rs
@@ -1,11 +1,13 @@
-//! An upgrade: a second process of the same sender takes over from the one that runs.
+//! Upgrades: a new process of the same sender takes over from the running one.
 //!
-//! Who holds the lock on `owner` in the lasting folder owns the journal and decides. A process that finds the
-//! lock taken asks its holder, over the socket `handover` beside it, to pass everything on: the module's state,
-//! the clients' listener, and each of their connections once it stands between two requests. From then on the
-//! old process decides nothing. It ends what it has out, tells how that ended, and passes on what still reaches
-//! it. Should the new process die, the old one starts over from the journal; should the old one die, what it
-//! had out is a broken connection to the new one.
+//! The process that holds the lock on `owner` in the state folder owns the journal and makes the decisions. A
+//! process that finds the lock taken connects to the socket `handover` in the same folder and asks the owner
+//! to hand over the policy's state, the clients' listener, and each client connection once it is between two
+//! requests.
+//!
+//! From then on the old process decides nothing. It finishes its calls in flight, reports how they ended, and
+//! forwards the messages and operators' calls that still reach it. If the new process dies, the old one
+//! starts over from the journal. If the old one dies, its calls count as lost connections in the new one.
 use crate::client::end_of;
 use crate::input::{Input, MaintenanceReply, Reply};
 use crate::owner::Owner;
@@ -39,88 +41,85 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The form of what is passed on. The one before is still taken, but not given.
+/// The version of the handed-over state.
 const VERSION: u32 = 2;
-const VERSION_BEFORE: u32 = 1;
-/// How long the old process may take to hand over, and the pause before it is asked again.
-const PATIENCE: Duration = Duration::from_secs(2);
-const PAUSE: Duration = Duration::from_millis(20);
-/// Longest frame: the whole state, with room to spare.
+/// The previous version, which is accepted from an old process but not sent to a new one.
+const PREVIOUS_VERSION: u32 = 1;
+/// How long the old process may take to hand over, and a new one to send its request.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pause before the old process is asked again, and between checks for its end.
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Bytes of the longest frame: the whole state, with room to spare.
 const MAX_FRAME: usize = 16 << 20;
-/// A frame's length and whether a descriptor comes with it.
-const HEAD: usize = 5;
+/// Bytes of a frame's header: its length, and whether a descriptor is attached.
+const FRAME_HEADER: usize = 5;
 
+/// The messages between the two processes.
 #[derive(Serialize, Deserialize)]
 enum Frame {
-    /// New to old: hand over.
-    Ask {
-        version: u32,
-    },
-    /// The answer, with the listener.
+    /// New to old: asks it to hand over.
+    #[serde(rename = "Ask")]
+    HandoverRequest { version: u32 },
+    /// Old to new: the reply, with the listener attached.
     State(Box<HandoverState>),
-    /// Old to new: a client's connection, what has been read of it, whether it has brought a whole request, and
-    /// for how long it has stood.
-    Client {
+    /// Old to new: a client's connection, attached as a descriptor.
+    #[serde(rename = "Client")]
+    ClientConnection {
+        /// Bytes that were read of the next request.
         read: Bytes,
+        /// Whether the connection has sent a whole request.
         whole: bool,
+        /// How long it has been idle.
         stood: Duration,
     },
     /// Old to new: how attempts ended.
-    Ended(Vec<AttemptEnd>),
-    /// Old to new: a message that came on a connection which had not passed on yet, and the answer to it.
-    Offer {
-        number: u64,
-        taken: AcceptedMessage,
-        body: Bytes,
-        left: Duration,
-    },
-    Answer {
-        number: u64,
-        reply: Option<Reply>,
-    },
-    /// Old to new: an operator's call, and what became of it.
-    Maint {
-        number: u64,
-        name: String,
-        out: bool,
-    },
-    Changed {
-        number: u64,
-        change: Option<MaintenanceReply>,
-    },
-    /// New to old: the module calls an attempt off.
-    Cancel {
-        id: u64,
-        attempt: u32,
-    },
+    #[serde(rename = "Ended")]
+    AttemptsEnded(Vec<AttemptEnd>),
+    /// Old to new: a message from a client whose connection has not been handed over yet. `left` is the time
+    /// to its deadline.
+    #[serde(rename = "Offer")]
+    Submit { number: u64, taken: AcceptedMessage, body: Bytes, left: Duration },
+    /// New to old: the reply to the submission with this number.
+    #[serde(rename = "Answer")]
+    SubmitReply { number: u64, reply: Option<Reply> },
+    /// Old to new: an operator's call.
+    #[serde(rename = "Maint")]
+    Maintenance { number: u64, name: String, out: bool },
+    /// New to old: the reply to the operator's call with this number.
+    #[serde(rename = "Changed")]
+    MaintenanceReply { number: u64, change: Option<MaintenanceReply> },
+    /// New to old: the policy cancels an attempt.
+    Cancel { id: u64, attempt: u32 },
 }
 
-/// What a process of the version before answers first.
+/// The reply of an old process of version 1.
 #[derive(Deserialize)]
 enum FrameV1 {
     State(Box<StateV1>),
 }
 
-/// A path that fits a socket's address, however long the folder's own is.
-struct Door {
+/// The path of the handover socket, by way of the folder's descriptor: a socket's address can't hold a long
+/// path.
+struct SocketPath {
     _folder: File,
     path: PathBuf,
 }
 
-impl Door {
-    fn new(folder: &Path) -> io::Result<Door> {
+impl SocketPath {
+    fn new(folder: &Path) -> io::Result<SocketPath> {
         let file = File::open(folder)?;
         let path = PathBuf::from(format!("/proc/self/fd/{}/handover", file.as_raw_fd()));
-        Ok(Door { _folder: file, path })
+        Ok(SocketPath { _folder: file, path })
     }
 }
 
+/// Sends frames.
 struct Writer(Rc<UnixStream>);
 
 impl Writer {
     async fn send(&self, frame: &Frame, descriptor: Option<BorrowedFd<'_>>) -> io::Result<()> {
         let body = rmp_serde::to_vec_named(frame).map_err(io::Error::other)?;
-        let mut bytes = Vec::with_capacity(HEAD + body.len());
+        let mut bytes = Vec::with_capacity(FRAME_HEADER + body.len());
         bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
         bytes.push(descriptor.is_some() as u8);
         bytes.extend_from_slice(&body);
@@ -131,12 +130,12 @@
             let written = self.0.try_io(Interest::WRITABLE, || {
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
                 let mut control = SendAncillaryBuffer::new(&mut space);
-                // It goes with the frame's first byte.
+                // The descriptor is attached to the frame's first byte.
                 if sent == 0 && !descriptors.is_empty() {
                     control.push(SendAncillaryMessage::ScmRights(descriptors));
                 }
-                let rest = [IoSlice::new(&bytes[sent..])];
-                Ok(sendmsg(&self.0, &rest, &mut control, SendFlags::NOSIGNAL | SendFlags::DONTWAIT)?)
+                let unsent = [IoSlice::new(&bytes[sent..])];
+                Ok(sendmsg(&self.0, &unsent, &mut control, SendFlags::NOSIGNAL | SendFlags::DONTWAIT)?)
             });
             match written {
                 Ok(n) => sent += n,
@@ -148,6 +147,7 @@
     }
 }
 
+/// Receives frames, and the descriptors attached to them.
 struct Reader {
     stream: Rc<UnixStream>,
     bytes: Vec<u8>,
@@ -155,7 +155,8 @@
 }
 
 impl Reader {
-    /// The next frame and what came with it; None at the end. Nothing is lost where it is given up half-way.
+    /// Receives the next frame and its descriptor; None at the end of the stream. Cancel safe: no data is
+    /// lost if the future is dropped.
     async fn next<F: DeserializeOwned>(&mut self) -> io::Result<Option<(F, Option<OwnedFd>)>> {
         loop {
             if let Some(frame) = self.take()? {
@@ -186,236 +187,250 @@
         }
     }
 
+    /// Takes a frame from the buffer, if a whole one has been received.
     fn take<F: DeserializeOwned>(&mut self) -> io::Result<Option<(F, Option<OwnedFd>)>> {
-        let Some((head, rest)) = self.bytes.split_first_chunk::<HEAD>() else { return Ok(None) };
+        let Some((head, rest)) = self.bytes.split_first_chunk::<FRAME_HEADER>() else { return Ok(None) };
         let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
         if length > MAX_FRAME {
-            return Err(io::Error::other("a frame is too long"));
+            return Err(io::Error::other("the frame is longer than 16 MiB"));
         }
-        let (Some(body), with) = (rest.get(..length), head[4] != 0) else { return Ok(None) };
+        let (Some(body), has_descriptor) = (rest.get(..length), head[4] != 0) else { return Ok(None) };
         let frame = rmp_serde::from_slice(body).map_err(io::Error::other)?;
-        self.bytes.drain(..HEAD + length);
-        Ok(Some((frame, if with { self.descriptors.pop_front() } else { None })))
+        self.bytes.drain(..FRAME_HEADER + length);
+        Ok(Some((frame, if has_descriptor { self.descriptors.pop_front() } else { None })))
     }
 }
 
-fn link(stream: UnixStream) -> (Reader, Writer) {
+/// Splits a connection into its two directions.
+fn split(stream: UnixStream) -> (Reader, Writer) {
     let stream = Rc::new(stream);
     (Reader { stream: stream.clone(), bytes: Vec::new(), descriptors: VecDeque::new() }, Writer(stream))
 }
 
-/// What the process before has passed on, and the way to it.
+/// The connection to the old process, with the listener that it has handed over.
 pub struct Predecessor {
     pub listener: TcpListener,
     reader: Reader,
     writer: Writer,
 }
 
-/// The right to the journal, from a process that runs if there is one. Waits for as long as that one neither
-/// hands over nor ends.
+/// Acquires the lock on the state folder, taking over from a running process if there is one. Waits until
+/// that one hands over or ends.
 pub async fn claim(
     folder: &Path,
     around: &ProgramSettings,
 ) -> io::Result<(Owner, Option<(Box<HandoverState>, Predecessor)>)> {
-    let mut told = false;
-    // A process of the version before lets go of who asks for a form that it does not know.
-    let mut versions = [VERSION, VERSION_BEFORE].into_iter().cycle();
+    let mut logged = false;
+    // An old process of version 1 closes the connection on a request for a version that it does not know.
+    let mut versions = [VERSION, PREVIOUS_VERSION].into_iter().cycle();
     loop {
         if let Some(owner) = Owner::claim(folder)? {
             return Ok((owner, None));
         }
         let version = versions.next().unwrap_or(VERSION);
-        match timeout(PATIENCE, ask(folder, version, around))
+        match timeout(HANDOVER_TIMEOUT, request_handover(folder, version, around))
             .await
             .unwrap_or(Err(io::ErrorKind::TimedOut.into()))
         {
-            Ok((state, before)) => {
-                // It gave up the lock first. One that it took back since has a dead link to us.
-                let owner = Owner::claim(folder)?.ok_or(io::Error::other("the journal was taken back"))?;
-                return Ok((owner, Some((state, before))));
+            Ok((state, predecessor)) => {
+                // The old process has released the lock before. If it has taken the lock back since, it has
+                // lost this connection.
+                let owner = Owner::claim(folder)?
+                    .ok_or(io::Error::other("the old process has taken the journal back"))?;
+                return Ok((owner, Some((state, predecessor))));
             }
             Err(error) => {
-                if !std::mem::replace(&mut told, true) {
+                if !std::mem::replace(&mut logged, true) {
                     tracing::info!(%error, "another process runs and does not hand over yet");
                 }
             }
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
-async fn ask(
+/// Asks the running process to hand over, and receives its state.
+async fn request_handover(
     folder: &Path,
     version: u32,
     around: &ProgramSettings,
 ) -> io::Result<(Box<HandoverState>, Predecessor)> {
-    let door = Door::new(folder)?;
-    let (mut reader, writer) = link(UnixStream::connect(&door.path).await?);
-    writer.send(&Frame::Ask { version }, None).await?;
-    let (state, listener) = if version == VERSION_BEFORE {
+    let socket = SocketPath::new(folder)?;
+    let (mut reader, writer) = split(UnixStream::connect(&socket.path).await?);
+    writer.send(&Frame::HandoverRequest { version }, None).await?;
+    let (state, listener) = if version == PREVIOUS_VERSION {
         let (FrameV1::State(state), listener) = reader.next().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
         (Box::new(state.upgrade(&around.kinds)), listener)
     } else {
         match reader.next().await?.ok_or(io::ErrorKind::UnexpectedEof)? {
             (Frame::State(state), listener) => (state, listener),
-            _ => return Err(io::Error::other("it answers otherwise")),
+            _ => return Err(io::Error::other("the old process replied with something other than its state")),
         }
     };
-    let listener = listener.ok_or(io::Error::other("it answers without its listener"))?.into();
+    let listener = listener.ok_or(io::Error::other("the old process replied without its listener"))?.into();
     Ok((state, Predecessor { listener, reader, writer }))
 }
 
-/// Where the next process asks.
+/// Binds the socket on which the next process asks for a handover.
 pub fn listen(folder: &Path) -> io::Result<UnixListener> {
-    let door = Door::new(folder)?;
-    match std::fs::remove_file(&door.path) {
+    let socket = SocketPath::new(folder)?;
+    match std::fs::remove_file(&socket.path) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => {}
     }
-    UnixListener::bind(&door.path)
+    UnixListener::bind(&socket.path)
 }
 
-/// The way to a process that has asked to take over.
+/// The connection to a new process that has asked to take over.
 pub struct Successor {
     reader: Reader,
     writer: Writer,
 }
 
-/// Waits for the next process to ask. Who asks wrongly is let go.
-pub async fn asked(listener: Option<&UnixListener>) -> Successor {
+/// Waits for a new process to ask for a handover. Invalid requests are closed.
+pub async fn next_request(listener: Option<&UnixListener>) -> Successor {
     let Some(listener) = listener else { return std::future::pending().await };
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let (mut reader, writer) = link(stream);
-                match timeout(PATIENCE, reader.next()).await {
-                    Ok(Ok(Some((Frame::Ask { version: VERSION }, _)))) => {
+                let (mut reader, writer) = split(stream);
+                match timeout(HANDOVER_TIMEOUT, reader.next()).await {
+                    Ok(Ok(Some((Frame::HandoverRequest { version: VERSION }, _)))) => {
                         return Successor { reader, writer }
                     }
-                    _ => tracing::warn!("asked to hand over in a form that is not known"),
+                    _ => tracing::warn!("received an invalid request to hand over"),
                 }
             }
             Err(error) => {
-                tracing::warn!(%error, "can't be asked to hand over");
-                sleep(PAUSE).await;
+                tracing::warn!(%error, "cannot accept a connection on the handover socket");
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// How the old process's part ended.
+/// How the old process's part in a handover ended.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Passed {
-    /// It was told to end, and nothing is left or its time is up.
-    On,
-    /// The new process has died first.
-    Back,
+pub enum HandoverEnd {
+    /// This process was told to end, and has nothing left to forward or no time left.
+    Completed,
+    /// The new process has died: this one has to start over.
+    SuccessorLost,
 }
 
-/// Hands the new process what is left here until it ends or this process is told to; then for `end` at most.
-pub async fn pass_on(
+/// Hands over to the new process, and forwards what still reaches this one until the new process dies or this
+/// one is told to end (`told`), and then for `grace` at most.
+pub async fn serve_successor(
     successor: Successor,
     (state, listener): (HandoverState, &TcpListener),
-    rest: RemainingWork,
+    work: RemainingWork,
     server: Rc<Server>,
     mut moved: mpsc::UnboundedReceiver<Moved>,
-    (told, end): (impl Future<Output = ()>, Duration),
-) -> Passed {
+    (told, grace): (impl Future<Output = ()>, Duration),
+) -> HandoverEnd {
     let Successor { mut reader, writer } = successor;
-    let RemainingWork { mut inbox, control_inbox: mut asks, attempts_in_flight: mut calls } = rest;
+    let RemainingWork { mut inbox, mut control_inbox, mut attempts_in_flight } = work;
     let mut told = pin!(told);
-    let mut until: Option<Instant> = None;
+    let mut end_by: Option<Instant> = None;
     let mut number = 0;
-    // Who waits for an answer here: as many as have connections to this process, at most.
-    let mut offers: HashMap<u64, oneshot::Sender<Reply>> = HashMap::new();
+    // Replies that callers wait for, by the number of their frame: at most one for each connection to this
+    // process.
+    let mut submissions: HashMap<u64, oneshot::Sender<Reply>> = HashMap::new();
     let mut changes: HashMap<u64, oneshot::Sender<MaintenanceReply>> = HashMap::new();
     let mut sent = writer.send(&Frame::State(Box::new(state)), Some(listener.as_fd())).await;
     loop {
         if let Err(error) = sent {
             tracing::warn!(%error, "the next process can't be told");
-            return if until.is_some() { Passed::On } else { Passed::Back };
+            return if end_by.is_some() { HandoverEnd::Completed } else { HandoverEnd::SuccessorLost };
         }
         sent = Ok(());
-        // A connection is no longer open here once it waits to pass on.
-        let waiting = !moved.is_empty() || !inbox.is_empty() || !asks.is_empty();
-        let out = !calls.is_empty() || !offers.is_empty() || !changes.is_empty() || server.open.get() > 0;
-        let idle = !waiting && !out;
-        if until.is_some_and(|at| Instant::now() >= at || idle) {
-            return Passed::On;
+        // `server.open` no longer counts a connection that waits to be handed over.
+        let waiting = !moved.is_empty() || !inbox.is_empty() || !control_inbox.is_empty();
+        let in_progress = !attempts_in_flight.is_empty()
+            || !submissions.is_empty()
+            || !changes.is_empty()
+            || server.open.get() > 0;
+        let idle = !waiting && !in_progress;
+        if end_by.is_some_and(|at| Instant::now() >= at || idle) {
+            return HandoverEnd::Completed;
         }
         tokio::select! {
             biased;
-            () = &mut told, if until.is_none() => until = Some(Instant::now() + end),
-            Some(ask) = asks.recv() => match ask {
-                Input::HealthCheck(reply) => _ = reply.send(until.is_none()),
-                Input::Maintenance { endpoint_name: name, out, reply } => {
+            () = &mut told, if end_by.is_none() => end_by = Some(Instant::now() + grace),
+            Some(input) = control_inbox.recv() => match input {
+                Input::HealthCheck(reply) => _ = reply.send(end_by.is_none()),
+                Input::Maintenance { name, out, reply } => {
                     number += 1;
                     changes.insert(number, reply);
-                    sent = writer.send(&Frame::Maint { number, name, out }, None).await;
+                    sent = writer.send(&Frame::Maintenance { number, name, out }, None).await;
                 }
                 _ => {}
             },
             Some(client) = moved.recv() => {
                 let Moved { stream, read, whole, stood } = client;
-                sent = writer.send(&Frame::Client { read, whole, stood }, Some(stream.as_fd())).await;
+                sent = writer
+                    .send(&Frame::ClientConnection { read, whole, stood }, Some(stream.as_fd()))
+                    .await;
             }
             Some(input) = inbox.recv() => match input {
                 Input::AttemptsEnded(ends) => {
-                    ends.iter().for_each(|e| _ = calls.remove(&(e.id, e.attempt)));
-                    sent = writer.send(&Frame::Ended(ends), None).await;
+                    ends.iter().for_each(|e| _ = attempts_in_flight.remove(&(e.id, e.attempt)));
+                    sent = writer.send(&Frame::AttemptsEnded(ends), None).await;
                 }
                 Input::Submit { message, deadline, reply } => {
                     number += 1;
-                    offers.insert(number, reply);
-                    let (body, left) = (message.body.clone(), deadline.saturating_duration_since(Instant::now()));
-                    sent = writer.send(&Frame::Offer { number, taken: message, body, left }, None).await;
+                    submissions.insert(number, reply);
+                    let (body, left) =
+                        (message.body.clone(), deadline.saturating_duration_since(Instant::now()));
+                    sent = writer.send(&Frame::Submit { number, taken: message, body, left }, None).await;
                 }
-                // Lists and what the platform answers are the new process's affair.
+                // Lists and acknowledged notices are up to the new process.
                 _ => {}
             },
             frame = reader.next::<Frame>() => match frame {
                 Ok(Some((Frame::Cancel { id, attempt }, _))) => {
-                    calls.get(&(id, attempt)).into_iter().for_each(|out| out.cancel.cancel());
+                    attempts_in_flight.get(&(id, attempt)).into_iter().for_each(|a| a.cancel.cancel());
                 }
-                Ok(Some((Frame::Answer { number, reply }, _))) => {
-                    offers.remove(&number).zip(reply).map(|(to, reply)| to.send(reply));
+                Ok(Some((Frame::SubmitReply { number, reply }, _))) => {
+                    submissions.remove(&number).zip(reply).map(|(client, reply)| client.send(reply));
                 }
-                Ok(Some((Frame::Changed { number, change }, _))) => {
-                    changes.remove(&number).zip(change).map(|(to, change)| to.send(change));
+                Ok(Some((Frame::MaintenanceReply { number, change }, _))) => {
+                    changes.remove(&number).zip(change).map(|(caller, change)| caller.send(change));
                 }
-                Ok(Some(_)) => tracing::warn!("the next process says what it should not"),
+                Ok(Some(_)) => tracing::warn!("the next process sent an unexpected frame"),
                 Ok(None) => sent = Err(io::ErrorKind::UnexpectedEof.into()),
                 Err(error) => sent = Err(error),
             },
-            () = sleep(PAUSE), if until.is_some() => {}
+            () = sleep(RETRY_PAUSE), if end_by.is_some() => {}
         }
     }
 }
 
-/// Follows the process before until it ends: its calls (`out`, as far as the core has taken them up) end here.
-pub fn follow(
-    before: Predecessor,
-    mut out: HashMap<(u64, u32), AttemptInFlight>,
+/// Serves the old process until it ends. `attempts_in_flight` are those of its attempts that the core has
+/// restored.
+pub fn follow_predecessor(
+    predecessor: Predecessor,
+    mut attempts_in_flight: HashMap<(u64, u32), AttemptInFlight>,
     core: mpsc::Sender<Input>,
-    asks: mpsc::Sender<Input>,
+    control: mpsc::Sender<Input>,
     server: Rc<Server>,
 ) {
-    let Predecessor { mut reader, writer, .. } = before;
-    // As many at most as there are calls and callers over there.
-    let (tell, mut frames) = mpsc::unbounded_channel::<Frame>();
+    let Predecessor { mut reader, writer, .. } = predecessor;
+    // Holds at most a frame for each attempt and each caller of the old process.
+    let (frames, mut unsent) = mpsc::unbounded_channel::<Frame>();
     spawn_local(async move {
-        while let Some(frame) = frames.recv().await {
+        while let Some(frame) = unsent.recv().await {
             if writer.send(&frame, None).await.is_err() {
                 return;
             }
         }
     });
-    for (&(id, attempt), out) in &out {
-        let (tell, cancel) = (tell.clone(), out.cancel.clone());
+    for (&(id, attempt), in_flight) in &attempts_in_flight {
+        let (frames, cancel) = (frames.clone(), in_flight.cancel.clone());
         spawn_local(async move {
             tokio::select! {
-                () = cancel.cancelled() => { let _ = tell.send(Frame::Cancel { id, attempt }); }
-                () = tell.closed() => {}
+                () = cancel.cancelled() => { let _ = frames.send(Frame::Cancel { id, attempt }); }
+                () = frames.closed() => {}
             }
         });
     }
@@ -423,40 +438,42 @@
         let started = Instant::now();
         while let Ok(Some((frame, descriptor))) = reader.next().await {
             match frame {
-                Frame::Ended(mut ends) => {
-                    ends.retain(|e| out.remove(&(e.id, e.attempt)).is_some());
+                Frame::AttemptsEnded(mut ends) => {
+                    ends.retain(|e| attempts_in_flight.remove(&(e.id, e.attempt)).is_some());
                     let _ = core.send(Input::AttemptsEnded(ends)).await;
                 }
-                Frame::Client { read, whole, stood } => {
+                Frame::ClientConnection { read, whole, stood } => {
                     if let Some(descriptor) = descriptor {
                         server.adopt(descriptor, read, whole, stood);
                     }
                 }
-                Frame::Offer { number, taken: mut message, body, left } => {
+                Frame::Submit { number, taken: mut message, body, left } => {
                     message.body = body;
                     let (reply, answer) = oneshot::channel();
                     let _ =
                         core.send(Input::Submit { message, deadline: Instant::now() + left, reply }).await;
-                    let tell = tell.clone();
+                    let frames = frames.clone();
                     spawn_local(async move {
-                        let _ = tell.send(Frame::Answer { number, reply: answer.await.ok() });
+                        let _ = frames.send(Frame::SubmitReply { number, reply: answer.await.ok() });
                     });
                 }
-                Frame::Maint { number, name, out } => {
+                Frame::Maintenance { number, name, out } => {
                     let (reply, change) = oneshot::channel();
-                    let _ = asks.send(Input::Maintenance { endpoint_name: name, out, reply }).await;
-                    let tell = tell.clone();
+                    let _ = control.send(Input::Maintenance { name, out, reply }).await;
+                    let frames = frames.clone();
                     spawn_local(async move {
-                        let _ = tell.send(Frame::Changed { number, change: change.await.ok() });
+                        let _ = frames.send(Frame::MaintenanceReply { number, change: change.await.ok() });
                     });
                 }
-                _ => tracing::warn!("the process before says what it should not"),
+                _ => tracing::warn!("the process before sent an unexpected frame"),
             }
         }
-        // What it had out broke off with it.
-        let ends: Vec<AttemptEnd> = out
+        // The connections of its attempts have ended with it.
+        let ends: Vec<AttemptEnd> = attempts_in_flight
             .iter()
-            .map(|(&(id, attempt), out)| end_of(id, attempt, out.endpoint, Outcome::ConnectionLost, started))
+            .map(|(&(id, attempt), in_flight)| {
+                end_of(id, attempt, in_flight.endpoint, Outcome::ConnectionLost, started)
+            })
             .collect();
         tracing::info!(calls = ends.len(), "the process before has ended");
         let _ = core.send(Input::AttemptsEnded(ends)).await;
--- a/src/bin/sender/input.rs
+++ b/src/bin/sender/input.rs
@@ -36,9 +36,9 @@
 pub enum Input {
     /// Asks whether messages can be accepted and delivered.
     HealthCheck(oneshot::Sender<bool>),
-    /// Operators take an endpoint out, or put it back.
+    /// Operators take an endpoint out, or put it back. `name` is the endpoint's.
     Maintenance {
-        endpoint_name: String,
+        name: String,
         out: bool,
         reply: oneshot::Sender<MaintenanceReply>,
     },
--- a/src/bin/sender/journal.rs
+++ b/src/bin/sender/journal.rs
@@ -1,8 +1,8 @@
-//! What the sender has taken on, kept in `$EDGE_STATE` so that it outlasts the process.
+//! The journal of accepted messages, kept in `$EDGE_STATE` so that they survive the process.
 //!
-//! It is a log of `crates/store` in the folder `journal`. Room is claimed for all that a message may come to before it
-//! is taken on, so that its end can always be written.
-mod takeover;
+//! It is a log of `crates/store` in the folder `journal`. Before a message is accepted, space is reserved for
+//! all records that it may need, so that its end can always be written.
+mod migration;
 
 use crate::config::Sync;
 use crate::owner::Owner;
@@ -18,25 +18,27 @@
 use store::survey::OpenError;
 use tokio::time::Instant;
 
-/// Bytes of a message's body, and of its class, tenant, id and key together, at most.
-const BODY: usize = 64 << 10;
-const TEXTS: usize = 4 * 256;
-/// Part of the disk that the journal may take; what it leaves is for the other files.
-const PART: f64 = 0.94;
-/// No message has it: its end is written to see whether writing succeeds again.
-const NOBODY: u64 = u64::MAX;
-
-/// What a journal has to know.
-pub struct How<'a> {
+/// Bytes of a message's body at most.
+const MAX_BODY: usize = 64 << 10;
+/// Bytes of a message's class, tenant, id and key together at most.
+const MAX_TEXTS: usize = 4 * 256;
+/// Share of the disk limit for the journal. The rest is for the other files in the state folder.
+const DISK_SHARE: f64 = 0.94;
+/// A number that no message has. Its end is written to test whether writing works again.
+const UNUSED_KEY: u64 = u64::MAX;
+
+/// The settings of a journal.
+pub struct JournalOptions<'a> {
     pub folder: &'a Path,
-    /// The sender's name: another one's folder is refused.
+    /// The sender's name. The folder of another sender is refused.
     pub name: &'a str,
     pub disk_mb: f64,
     pub max_attempts: u32,
     pub sync: Sync,
 }
 
-impl How<'_> {
+impl JournalOptions<'_> {
+    /// Attempts per message that space is reserved for.
     fn attempts(&self) -> usize {
         self.max_attempts.min(1_000) as usize
     }
@@ -44,34 +46,37 @@
     fn config(&self) -> Config {
         Config {
             owner: self.name.to_string(),
-            limit: (self.disk_mb * 1e6 * PART) as u64,
-            largest: payload::max_payload_bytes(BODY, TEXTS, self.attempts()),
+            limit: (self.disk_mb * 1e6 * DISK_SHARE) as u64,
+            largest: payload::max_payload_bytes(MAX_BODY, MAX_TEXTS, self.attempts()),
             durable: self.sync != Sync::None,
         }
     }
 }
 
+/// The log of accepted messages, with its content in memory.
 pub struct Journal<F: Files = Disk> {
     log: Log<F>,
-    book: PendingMessages,
-    /// Bytes that all that is owed may come to, and how many they may be.
-    claimed: u64,
-    bound: u64,
+    pending: PendingMessages,
+    /// Upper bound in bytes of all records of the pending messages.
+    reserved: u64,
+    /// The most that `reserved` may come to.
+    capacity: u64,
     max_attempts: usize,
     sync: Sync,
     synced_at: Instant,
-    /// Whether anything was written since.
+    /// Whether anything was written since the last sync.
     unsynced: bool,
-    /// What holds already and could not be written yet.
+    /// Records that already apply and could not be written yet.
     backlog: Vec<Record>,
-    /// It is this process's as long as it holds this; given up last.
+    /// The lock on the state folder, released last.
     _owner: Owner,
 }
 
 impl Journal {
-    pub fn open(owner: Owner, how: &How) -> Result<Journal, OpenError> {
-        let folder = takeover::prepare(how.folder, &how.config())?;
-        Journal::on(Disk::new(&folder), owner, how)
+    /// Opens the journal in the state folder, converting one of the older format.
+    pub fn open(owner: Owner, options: &JournalOptions) -> Result<Journal, OpenError> {
+        let folder = migration::prepare(options.folder, &options.config())?;
+        Journal::open_files(Disk::new(&folder), owner, options)
     }
 }
 
@@ -79,23 +84,26 @@
 where
     F::File: Send + 'static,
 {
-    pub fn on(files: F, owner: Owner, how: &How) -> Result<Journal<F>, OpenError> {
-        let mut book = PendingMessages::default();
-        let config = how.config();
+    /// Opens the journal on the given files, which are those of the folder `journal`.
+    pub fn open_files(files: F, owner: Owner, options: &JournalOptions) -> Result<Journal<F>, OpenError> {
+        let mut pending = PendingMessages::default();
+        let config = options.config();
         let limit = config.limit;
-        let (log, found) = Log::open(files, config, |record| book.apply_logged(&record))?;
-        tell(&found);
-        let max_attempts = how.attempts();
-        let claimed =
-            book.messages().values().map(|o| payload::max_log_bytes(&o.accepted, max_attempts)).sum();
+        let (log, found) = Log::open(files, config, |record| pending.apply_logged(&record))?;
+        log_damage(&found);
+        let max_attempts = options.attempts();
+        let reserved =
+            pending.messages().values().map(|m| payload::max_log_bytes(&m.accepted, max_attempts)).sum();
         Ok(Journal {
             log,
-            book,
-            claimed,
-            // What the longest record takes beyond a segment's end is none of it (`store`, its test of room).
-            bound: (limit / 2).saturating_sub(payload::max_payload_bytes(BODY, TEXTS, max_attempts) as u64),
+            pending,
+            reserved,
+            // The log always has room while less than half of its limit is live, not counting the longest
+            // record, which may exceed a segment's end (property test of the store in `tests/folders.rs`).
+            capacity: (limit / 2)
+                .saturating_sub(payload::max_payload_bytes(MAX_BODY, MAX_TEXTS, max_attempts) as u64),
             max_attempts,
-            sync: how.sync,
+            sync: options.sync,
             synced_at: Instant::now(),
             unsynced: false,
             backlog: Vec::new(),
@@ -103,36 +111,40 @@
         })
     }
 
-    pub fn live(&self) -> &BTreeMap<u64, PendingMessage> {
-        self.book.messages()
+    /// Returns the messages that have not ended, by number.
+    pub fn pending(&self) -> &BTreeMap<u64, PendingMessage> {
+        self.pending.messages()
     }
 
-    /// Whether there is room for one more besides `waiting` bytes that were promised in this round; what it takes.
-    pub fn has_room(&self, taken: &AcceptedMessage, waiting: u64) -> Option<u64> {
-        let claim = payload::max_log_bytes(taken, self.max_attempts);
-        (self.claimed + waiting + claim <= self.bound).then_some(claim)
+    /// Returns the bytes to reserve for a message, or None if they don't fit besides `round_reserved` bytes,
+    /// which are for messages that the current round has not written yet.
+    pub fn space_for(&self, message: &AcceptedMessage, round_reserved: u64) -> Option<u64> {
+        let needed = payload::max_log_bytes(message, self.max_attempts);
+        (self.reserved + round_reserved + needed <= self.capacity).then_some(needed)
     }
 
-    /// Writes the records of a round at once. If that fails nothing of them holds.
+    /// Writes the records of a round in one go. If that fails, none of them applies.
     pub fn write(&mut self, records: &[Record]) -> io::Result<()> {
         self.flush()?;
         self.append(records)?;
-        records.iter().for_each(|r| self.note(r));
+        records.iter().for_each(|r| self.apply(r));
         Ok(())
     }
 
-    /// Records of what has happened and can't be taken back: they hold at once, and are written as soon as that succeeds.
-    /// As many can wait as messages are owed an end: nothing new is taken on meanwhile.
-    pub fn owe(&mut self, records: Vec<Record>) -> io::Result<()> {
-        records.iter().for_each(|r| self.note(r));
+    /// Applies records of what has already happened, and writes them as soon as that succeeds.
+    ///
+    /// The backlog is bounded by the number of pending messages, as no message is accepted while writing
+    /// fails.
+    pub fn write_eventually(&mut self, records: Vec<Record>) -> io::Result<()> {
+        records.iter().for_each(|r| self.apply(r));
         self.backlog.extend(records);
         self.flush()
     }
 
-    /// Whether anything can be written (again).
-    pub fn probe(&mut self) -> io::Result<()> {
+    /// Tests whether writing succeeds, by writing the backlog and a record without effect.
+    pub fn probe_write(&mut self) -> io::Result<()> {
         self.flush()?;
-        self.log.append(&[Entry { key: NOBODY, does: Does::End, payload: &[] }], &self.book)?;
+        self.log.append(&[Entry { key: UNUSED_KEY, does: Does::End, payload: &[] }], &self.pending)?;
         self.unsynced = true;
         Ok(())
     }
@@ -146,7 +158,7 @@
         if records.is_empty() {
             return Ok(());
         }
-        let coded: Vec<(u64, Does, Vec<u8>)> = records
+        let encoded: Vec<(u64, Does, Vec<u8>)> = records
             .iter()
             .map(|record| {
                 let (does, payload) = payload::encode_record(record);
@@ -154,34 +166,34 @@
             })
             .collect();
         let entries: Vec<Entry> =
-            coded.iter().map(|(key, does, payload)| Entry { key: *key, does: *does, payload }).collect();
-        self.log.append(&entries, &self.book)?;
+            encoded.iter().map(|(key, does, payload)| Entry { key: *key, does: *does, payload }).collect();
+        self.log.append(&entries, &self.pending)?;
         self.unsynced = true;
         Ok(())
     }
 
-    /// Whether answers, calls and notices wait for a sync of what they follow from.
-    pub fn in_groups(&self) -> bool {
+    /// Returns whether replies, calls and notices wait until the records that they depend on are synced.
+    pub fn syncs_before_effects(&self) -> bool {
         self.sync == Sync::Group
     }
 
-    /// Whether only a sync shows that writing succeeds.
-    pub fn syncs(&self) -> bool {
+    /// Returns whether records are ever synced, so that only a sync proves that writing succeeds.
+    pub fn is_durable(&self) -> bool {
         self.sync != Sync::None
     }
 
-    /// When what was written is to be synced by the clock.
-    pub fn sync_due(&self) -> Option<Instant> {
+    /// Returns when the next periodic sync is due, if there is anything to sync.
+    pub fn next_sync(&self) -> Option<Instant> {
         match self.sync {
-            Sync::Interval(span) if self.unsynced => Some(self.synced_at + span),
+            Sync::Interval(interval) if self.unsynced => Some(self.synced_at + interval),
             _ => None,
         }
     }
 
-    /// Syncs on another thread: connections are read and answers come in meanwhile, and wait for one sync together.
+    /// Syncs on another thread. Meanwhile connections are read and replies arrive, which then share one sync.
     pub async fn sync(&mut self) -> io::Result<()> {
         self.synced_at = Instant::now();
-        let Some(mut unsynced) = self.log.begin_sync(&self.book)? else { return Ok(()) };
+        let Some(mut unsynced) = self.log.begin_sync(&self.pending)? else { return Ok(()) };
         let (unsynced, result) = tokio::task::spawn_blocking(move || {
             let result = unsynced.sync();
             (unsynced, result)
@@ -193,32 +205,35 @@
         Ok(())
     }
 
-    /// Leaves nothing to the next loss of power, where syncs matter at all.
+    /// Syncs what is unsynced before the process ends, unless syncing is turned off.
     pub async fn close(&mut self) {
         if self.sync != Sync::None && self.unsynced {
             if let Err(error) = self.sync().await {
-                tracing::error!(%error, "the journal's end can't be synced");
+                tracing::error!(%error, "cannot sync the journal at shutdown");
             }
         }
     }
 
-    fn note(&mut self, record: &Record) {
+    /// Applies a record to the pending messages and to the space reserved for them.
+    fn apply(&mut self, record: &Record) {
         let before = self
-            .book
+            .pending
             .messages()
             .get(&record.id())
-            .map(|o| payload::max_log_bytes(&o.accepted, self.max_attempts));
+            .map(|m| payload::max_log_bytes(&m.accepted, self.max_attempts));
         match (record, before) {
-            (Record::Accepted(taken), _) => self.claimed += payload::max_log_bytes(taken, self.max_attempts),
-            (Record::Ended(_), Some(claim)) => self.claimed -= claim,
+            (Record::Accepted(message), _) => {
+                self.reserved += payload::max_log_bytes(message, self.max_attempts)
+            }
+            (Record::Ended(_), Some(needed)) => self.reserved -= needed,
             _ => {}
         }
-        self.book.apply(record);
+        self.pending.apply(record);
     }
 }
 
-/// Damage is told loudly but for the tail that a crash leaves.
-fn tell(found: &Found) {
+/// Logs damage found at the start: as an error, unless it is the torn tail that a crash leaves.
+fn log_damage(found: &Found) {
     for damage in &found.damage {
         match damage.is_expected() {
             true => tracing::warn!("journal: {damage}, as a crash leaves it; it was cut off"),
@@ -226,9 +241,9 @@
         }
     }
     for file in &found.aside.files {
-        tracing::error!(file, "journal: the damaged bytes were set aside");
+        tracing::error!(file, "journal: damaged bytes were set aside in a file");
     }
     if found.aside.left > 0 {
-        tracing::error!(places = found.aside.left, "journal: damaged bytes have no room to be set aside");
+        tracing::error!(places = found.aside.left, "journal: no room to set damaged bytes aside");
     }
 }
--- a/src/bin/sender/journal/takeover.rs
+++ b/src/bin/sender/journal/migration.rs
@@ -1,7 +1,7 @@
-//! From the single file that senders before this one kept, to the log.
+//! Converts the single journal file of earlier versions to the log.
 //!
-//! The log takes the file's name, as a folder: a sender of that time that is started again can't read it and says so,
-//! where it would otherwise begin with nothing and forget what it owes.
+//! The log's folder takes the file's name. A sender of an earlier version that is started again can't read it
+//! and says so, instead of starting with an empty journal and forgetting its messages.
 use sender::records::journal_file;
 use sender::records::pending::PendingMessages;
 use std::fs;
@@ -13,18 +13,21 @@
 use store::log::{Config, Entry, Log};
 use store::survey::OpenError;
 
-/// The folder of the log, once it holds what an old file held. Cut short at any point it is done by the next start.
+/// Returns the log's folder, after converting a journal file if there is one. A conversion that is
+/// interrupted at any point is completed by the next start.
 pub fn prepare(folder: &Path, config: &Config) -> Result<PathBuf, OpenError> {
     let journal = folder.join("journal");
     let (next, old) = (folder.join("journal.next"), folder.join("journal.old"));
-    // A rewrite of the old file that was cut short: that file still holds everything.
-    remove(&folder.join("journal.new"))?;
+    // Left by an interrupted rewrite of the old file, which still holds everything itself.
+    remove_if_present(&folder.join("journal.new"))?;
     if old.exists() {
-        // The new folder was whole before the old file went out of its way.
+        // The new folder was complete before the old file was renamed.
         if !journal.exists() {
             fs::rename(&next, &journal)?;
         } else if !journal.is_dir() {
-            let why = "journal.old was taken over, and a journal was begun since by a sender of before";
+            let why =
+                "journal.old was converted to a log, but a sender of an earlier version has started a new \
+                       journal file since";
             return Err(io::Error::other(why).into());
         }
     } else if journal.is_file() {
@@ -36,7 +39,7 @@
             fs::remove_dir_all(&next)?;
         }
         fs::create_dir(&next)?;
-        fill(&fs::read(&journal)?, &next, config)?;
+        convert(&fs::read(&journal)?, &next, config)?;
         fs::rename(&journal, &old)?;
         fs::rename(&next, &journal)?;
     } else if !journal.exists() {
@@ -45,36 +48,37 @@
     if config.durable {
         Disk::new(folder).sync_names()?;
     }
-    remove(&old)?;
+    remove_if_present(&old)?;
     Ok(journal)
 }
 
-fn remove(path: &Path) -> io::Result<()> {
+fn remove_if_present(path: &Path) -> io::Result<()> {
     match fs::remove_file(path) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
         _ => Ok(()),
     }
 }
 
-fn fill(bytes: &[u8], folder: &Path, config: &Config) -> Result<(), OpenError> {
-    let read = journal_file::read(bytes);
-    for range in &read.damaged {
+/// Writes the pending messages of a journal file to a new log in `folder`.
+fn convert(bytes: &[u8], folder: &Path, config: &Config) -> Result<(), OpenError> {
+    let content = journal_file::read(bytes);
+    for range in &content.damaged {
         let (start, end) = (range.start, range.end);
         match end == bytes.len() {
             true => tracing::warn!("journal: bytes {start} to {end}, its tail, are torn"),
-            false => tracing::error!("journal: DAMAGED: bytes {start} to {end} are no records"),
+            false => tracing::error!("journal: DAMAGED: bytes {start} to {end} hold no valid record"),
         }
     }
-    let mut book = PendingMessages::default();
-    read.records.iter().for_each(|r| book.apply(r));
+    let mut pending = PendingMessages::default();
+    content.records.iter().for_each(|r| pending.apply(r));
     let (mut log, _) = Log::open(Disk::new(folder), config.clone(), |_| Ok(()))?;
-    for (&key, owed) in book.messages() {
-        let payload = sender::records::payload::encode_message(owed);
-        log.append(&[Entry { key, does: Does::Begin, payload: &payload }], &book)?;
+    for (&key, message) in pending.messages() {
+        let payload = sender::records::payload::encode_message(message);
+        log.append(&[Entry { key, does: Does::Begin, payload: &payload }], &pending)?;
     }
     if config.durable {
-        log.sync(&book)?;
+        log.sync(&pending)?;
     }
-    tracing::info!(messages = book.messages().len(), "journal: taken over");
+    tracing::info!(messages = pending.messages().len(), "journal: converted to a log");
     Ok(())
 }
--- a/src/bin/sender/learned.rs
+++ b/src/bin/sender/learned.rs
@@ -1,5 +1,7 @@
-//! What the module has learned, kept beside the journal as a snapshot, so that a process that was killed is followed by
-//! one that need not learn it anew. It is written to the side and renamed; one that does not suit is left, and told.
+//! The snapshot of what the policy has learned, stored beside the journal.
+//!
+//! A process that starts after a crash continues from it. The file is replaced by a rename; a snapshot that
+//! does not fit the process is ignored, with a warning.
 use crate::config::Config;
 use sender::api::{EndpointId, Ns};
 use sender::policy::Sender;
@@ -11,135 +13,152 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The form of the file, and the one before, which is still read; another one is left.
-const FORM: u32 = 2;
-const FORM_BEFORE: u32 = 1;
-/// Checksum and nothing else before what was packed.
-const HEAD: usize = 4;
-/// A snapshot that is older says little of the platform as it is: limits and their shares were told long ago.
+/// The version of the file's format.
+const FORMAT: u32 = 2;
+/// The previous version, which is still read. A file of any other version is ignored.
+const PREVIOUS_FORMAT: u32 = 1;
+/// Bytes of the checksum before the packed content.
+const CHECKSUM: usize = 4;
+/// An older snapshot says little of the platform's present state: its limits and shares are out of date.
 const MAX_AGE: Duration = Duration::from_secs(600);
-/// Part of the disk that it may take; for a moment there are two of them.
-const PART: f64 = 0.02;
+/// Share of the disk limit for a snapshot. While one is replaced there are two.
+const DISK_SHARE: f64 = 0.02;
 
-/// What is kept.
+/// A snapshot to store.
 #[derive(Serialize)]
 pub struct Snapshot<'a> {
-    pub module: &'a Sender,
-    /// The module's time at a Unix time in nanoseconds.
+    #[serde(rename = "module")]
+    pub policy: &'a Sender,
+    /// A time of the policy's clock and the Unix time in nanoseconds that it corresponds to.
     pub clock: (Ns, u64),
-    pub numbers: &'a Numbers,
+    pub numbers: &'a EndpointNumbers,
 }
 
-/// The module's numbers of the endpoints that it knows, by name.
+/// The policy's numbers of the endpoints that it knows.
 #[derive(Serialize, Deserialize, Default)]
-pub struct Numbers {
+pub struct EndpointNumbers {
+    /// Number and name.
     pub endpoints: Vec<(EndpointId, String)>,
-    /// Above all numbers that were ever given.
+    /// Greater than every number that was ever assigned.
     pub next_id: EndpointId,
 }
 
-/// What was kept.
+/// A snapshot as it was read.
 #[derive(Deserialize)]
-pub struct Kept {
-    pub module: Sender,
+pub struct StoredSnapshot {
+    #[serde(rename = "module")]
+    pub policy: Sender,
     pub clock: (Ns, u64),
-    pub numbers: Numbers,
+    pub numbers: EndpointNumbers,
 }
 
-/// What was kept in the form before: every endpoint that lists ever named, by number, with its machine type.
+/// A snapshot of the previous format, with the name and machine type of every endpoint that lists ever named,
+/// by number.
 #[derive(Deserialize)]
-struct KeptBefore {
-    module: Sender,
+struct SnapshotV1 {
+    #[serde(rename = "module")]
+    policy: Sender,
     clock: (Ns, u64),
     endpoints: Vec<(String, usize)>,
 }
 
-impl From<KeptBefore> for Kept {
-    fn from(before: KeptBefore) -> Kept {
-        let next_id = before.endpoints.len() as EndpointId;
-        let endpoints = (0..).zip(before.endpoints).map(|(number, (name, _))| (number, name)).collect();
-        Kept { module: before.module, clock: before.clock, numbers: Numbers { endpoints, next_id } }
+impl From<SnapshotV1> for StoredSnapshot {
+    fn from(old: SnapshotV1) -> StoredSnapshot {
+        let next_id = old.endpoints.len() as EndpointId;
+        let endpoints = (0..).zip(old.endpoints).map(|(number, (name, _))| (number, name)).collect();
+        StoredSnapshot {
+            policy: old.policy,
+            clock: old.clock,
+            numbers: EndpointNumbers { endpoints, next_id },
+        }
     }
 }
 
-/// A file's content: form, the sender's name, checksum of the settings, and what was kept.
-type Whole<T> = (u32, String, u32, T);
+/// The packed content of a file: format, the sender's name, checksum of the settings, and the snapshot.
+type Packed<T> = (u32, String, u32, T);
 
-fn unpack(packed: &[u8]) -> Result<Whole<Kept>, Left> {
-    let form = rmp_serde::from_slice::<Whole<IgnoredAny>>(packed).map_err(|_| Left::Damaged)?.0;
-    let whole = match form {
-        FORM => rmp_serde::from_slice(packed),
-        FORM_BEFORE => rmp_serde::from_slice::<Whole<KeptBefore>>(packed)
-            .map(|(form, name, settings, kept)| (form, name, settings, kept.into())),
-        _ => return Err(Left::Damaged),
+fn unpack(bytes: &[u8]) -> Result<Packed<StoredSnapshot>, Unusable> {
+    let format = rmp_serde::from_slice::<Packed<IgnoredAny>>(bytes).map_err(|_| Unusable::Damaged)?.0;
+    let unpacked = match format {
+        FORMAT => rmp_serde::from_slice(bytes),
+        PREVIOUS_FORMAT => rmp_serde::from_slice::<Packed<SnapshotV1>>(bytes)
+            .map(|(format, name, settings, snapshot)| (format, name, settings, snapshot.into())),
+        _ => return Err(Unusable::Damaged),
     };
-    whole.map_err(|_| Left::Damaged)
+    unpacked.map_err(|_| Unusable::Damaged)
 }
 
-pub struct Learned {
+/// The snapshot file of a sender.
+pub struct SnapshotFile {
     path: PathBuf,
-    every: Duration,
-    /// Bytes that it may have.
-    most: usize,
+    interval: Duration,
+    max_bytes: usize,
     name: String,
-    settings: String,
+    settings_json: String,
     written_at: Instant,
-    told: bool,
+    /// Whether the last write failed, which was logged then.
+    failing: bool,
 }
 
-/// Why a snapshot is left.
+/// Why a stored snapshot is ignored.
 #[derive(Debug, thiserror::Error)]
-enum Left {
+enum Unusable {
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("it is damaged, or of another version")]
+    #[error("the snapshot is damaged, or of another version")]
     Damaged,
-    #[error("it is {0:?}'s")]
+    #[error("the snapshot belongs to the sender {0:?}")]
     Foreign(String),
-    #[error("it is of other settings")]
+    #[error("the snapshot was taken under other settings")]
     Settings,
-    #[error("it is {0:?} old")]
+    #[error("the snapshot is too old: {0:?}")]
     Old(Duration),
-    #[error("it is from the future: the clock was set back")]
+    #[error("the snapshot is from the future: the clock was set back")]
     Future,
 }
 
-impl Learned {
-    /// None where nothing is to be kept.
-    pub fn new(config: &Config) -> Option<Learned> {
-        Some(Learned {
-            path: config.state.join("learned"),
-            every: config.learned?,
-            most: (config.limits.disk_mb * 1e6 * PART) as usize,
+impl SnapshotFile {
+    /// Returns None where the configuration asks for no snapshots.
+    pub fn new(config: &Config) -> Option<SnapshotFile> {
+        Some(SnapshotFile {
+            path: config.state_folder.join("learned"),
+            interval: config.snapshot_interval?,
+            max_bytes: (config.limits.disk_mb * 1e6 * DISK_SHARE) as usize,
             name: config.name.clone(),
-            settings: config.told.clone(),
+            settings_json: config.settings_json.clone(),
             written_at: Instant::now(),
-            told: false,
+            failing: false,
         })
     }
 
+    /// Returns when the next snapshot is due.
     pub fn due(&self) -> Instant {
-        self.written_at + self.every
+        self.written_at + self.interval
     }
 
-    /// Replaces the snapshot. What fails is told once; service goes on without.
+    /// Replaces the snapshot. The first of several failures in a row is logged; the sender works without a
+    /// snapshot.
     pub fn write(&mut self, snapshot: &Snapshot) {
         self.written_at = Instant::now();
         let result = self.try_write(snapshot);
         let failed = result.is_err();
         if let Err(error) = result {
-            if !self.told {
+            if !self.failing {
                 tracing::warn!(%error, "what was learned can't be kept");
             }
         }
-        self.told = failed;
+        self.failing = failed;
     }
 
     fn try_write(&self, snapshot: &Snapshot) -> io::Result<()> {
-        let whole = (FORM, &self.name, crc32fast::hash(self.settings.as_bytes()), snapshot);
-        let packed = rmp_serde::to_vec_named(&whole).map_err(io::Error::other)?;
-        if HEAD + packed.len() > self.most {
-            let why = format!("it has {} bytes, and {} is its part of the disk", packed.len(), self.most);
+        let content = (FORMAT, &self.name, crc32fast::hash(self.settings_json.as_bytes()), snapshot);
+        let packed = rmp_serde::to_vec_named(&content).map_err(io::Error::other)?;
+        if CHECKSUM + packed.len() > self.max_bytes {
+            let why = format!(
+                "the snapshot has {} bytes; its share of the disk limit is {}",
+                packed.len(),
+                self.max_bytes
+            );
             return Err(io::Error::new(io::ErrorKind::StorageFull, why));
         }
         let mut bytes = crc32fast::hash(&packed).to_le_bytes().to_vec();
@@ -149,10 +168,11 @@
         written.inspect_err(|_| _ = fs::remove_file(&new))
     }
 
-    /// The last snapshot, where it suits this process at a Unix time in nanoseconds.
-    pub fn read(&self, wall: u64) -> Option<Kept> {
-        match self.try_read(wall) {
-            Ok(kept) => kept,
+    /// Reads the stored snapshot, if there is one that fits this process. `unix_ns` is the current Unix time
+    /// in nanoseconds.
+    pub fn read(&self, unix_ns: u64) -> Option<StoredSnapshot> {
+        match self.try_read(unix_ns) {
+            Ok(snapshot) => snapshot,
             Err(why) => {
                 tracing::warn!(%why, "what was learned before is left");
                 None
@@ -160,29 +180,29 @@
         }
     }
 
-    fn try_read(&self, wall: u64) -> Result<Option<Kept>, Left> {
+    fn try_read(&self, unix_ns: u64) -> Result<Option<StoredSnapshot>, Unusable> {
         let bytes = match fs::read(&self.path) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             bytes => bytes?,
         };
-        let (sum, packed) = bytes.split_first_chunk::<HEAD>().ok_or(Left::Damaged)?;
-        if crc32fast::hash(packed) != u32::from_le_bytes(*sum) {
-            return Err(Left::Damaged);
+        let (checksum, packed) = bytes.split_first_chunk::<CHECKSUM>().ok_or(Unusable::Damaged)?;
+        if crc32fast::hash(packed) != u32::from_le_bytes(*checksum) {
+            return Err(Unusable::Damaged);
         }
-        let (_, name, settings, kept) = unpack(packed)?;
+        let (_, name, settings_checksum, snapshot) = unpack(packed)?;
         if name != self.name {
-            return Err(Left::Foreign(name));
+            return Err(Unusable::Foreign(name));
         }
-        if settings != crc32fast::hash(self.settings.as_bytes()) {
-            return Err(Left::Settings);
+        if settings_checksum != crc32fast::hash(self.settings_json.as_bytes()) {
+            return Err(Unusable::Settings);
         }
-        let age = wall.checked_sub(kept.clock.1).ok_or(Left::Future)?;
+        let age = unix_ns.checked_sub(snapshot.clock.1).ok_or(Unusable::Future)?;
         let age = Duration::from_nanos(age);
         if age > MAX_AGE {
-            return Err(Left::Old(age));
+            return Err(Unusable::Old(age));
         }
         tracing::info!(?age, bytes = bytes.len(), "going on with what was learned before");
-        Ok(Some(kept))
+        Ok(Some(snapshot))
     }
 }
 
--- a/src/bin/sender/list_intake.rs
+++ b/src/bin/sender/list_intake.rs
@@ -152,7 +152,7 @@
     if catalogue.len() > LARGE && catalogue.is_last_holder() {
         let drop_and_give_back = move || {
             drop(catalogue);
-            memory::give_back();
+            memory::trim();
         };
         // Where there is no thread to be had it is dropped here.
         let _ = thread::Builder::new().spawn(drop_and_give_back);
--- a/src/bin/sender/main.rs
+++ b/src/bin/sender/main.rs
@@ -1,4 +1,4 @@
-//! cairnpulley-sender: one real sender. Start, signals and wiring.
+//! The sender process `cairnpulley-sender`: startup, signals and wiring.
 mod body_channel;
 mod client;
 mod config;
@@ -14,7 +14,7 @@
 mod learned;
 mod linger;
 mod list_intake;
-mod maint;
+mod maintenance;
 mod memory;
 mod notices;
 mod owner;
@@ -35,19 +35,21 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// After SIGTERM: how long new connections are still taken, when nothing new is begun any more, and when the
-/// process ends whatever is still out. What is left then is in the journal.
-const ACCEPT_ON: Duration = Duration::from_millis(500);
-const CLIENTS_GONE: Duration = Duration::from_millis(1_200);
-const BEGIN_ON: Duration = Duration::from_millis(2_600);
-const END: Duration = Duration::from_millis(3_300);
-/// Until then requests that were read may still get their answer; SIGKILL comes 3.7 s after SIGTERM.
-const LAST_ANSWERS: Duration = Duration::from_millis(3_500);
-/// Descriptors that neither clients nor calls use.
-const OWN_SOCKETS: usize = 24;
-/// Calls on the second address that wait for the core: no more can be open.
-const ASKS: usize = control::PLACES;
-/// Inputs that wait for the core. Clients are told 503 beyond it.
+/// Graceful shutdown, in times since SIGTERM: until then new connections are accepted.
+const ACCEPT_UNTIL: Duration = Duration::from_millis(500);
+/// Until then the process waits for clients' connections to close.
+const CLIENTS_UNTIL: Duration = Duration::from_millis(1_200);
+/// Until then new calls are made.
+const BEGIN_UNTIL: Duration = Duration::from_millis(2_600);
+/// Until then calls in flight may end. Messages that are left then are in the journal.
+const END_BY: Duration = Duration::from_millis(3_300);
+/// Until then requests that were read may still be answered. SIGKILL comes 3.7 s after SIGTERM.
+const ANSWERS_UNTIL: Duration = Duration::from_millis(3_500);
+/// Descriptors that are used neither for clients nor for calls.
+const OWN_DESCRIPTORS: usize = 24;
+/// Capacity of the core's inbox for the control address, which has no more connections.
+const CONTROL_INBOX: usize = control::MAX_CONNECTIONS;
+/// Capacity of the core's inbox. Clients are answered 503 while it is full.
 const INBOX: usize = 2_048;
 
 fn main() -> ExitCode {
@@ -72,14 +74,14 @@
             return ExitCode::FAILURE;
         }
     };
-    // Where the next process in an upgrade dies, this one starts over with the listener that it has.
-    let mut kept = None;
+    // If the new process dies during an upgrade, this one starts over with the listener that it still has.
+    let mut listener = None;
     loop {
-        let run = run(config.clone(), &mut signals, kept.take());
+        let run = run(config.clone(), &mut signals, listener.take());
         match LocalSet::new().block_on(&runtime, run) {
-            Ok(End::Told) => return ExitCode::SUCCESS,
-            Ok(End::StartOver { listener, discovery }) => {
-                kept = Some(listener);
+            Ok(End::Terminated) => return ExitCode::SUCCESS,
+            Ok(End::StartOver { listener: kept, discovery }) => {
+                listener = Some(kept);
                 config.discovery = discovery;
             }
             Err(error) => {
@@ -90,6 +92,7 @@
     }
 }
 
+/// The signals that end the process.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -103,8 +106,8 @@
         })
     }
 
-    /// Waits to be told to end.
-    async fn told(&mut self) {
+    /// Waits for one of the signals.
+    async fn received(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
@@ -112,128 +115,153 @@
     }
 }
 
+/// Why a run has ended.
 enum End {
-    Told,
-    /// With the listener, and with discovery where it is by now.
+    Terminated,
+    /// The new process in an upgrade has died. Carries the clients' listener and the current address of
+    /// discovery.
     StartOver {
         listener: std::net::TcpListener,
         discovery: SocketAddr,
     },
 }
 
+/// Runs a sender until it is terminated or has to start over. `kept` is the listener to start over with.
 async fn run(
     config: config::Config,
     signals: &mut Signals,
     kept: Option<std::net::TcpListener>,
 ) -> Result<End, String> {
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
-    let folder = config.state.clone();
-    let (asks_in, asks) = mpsc::channel(ASKS);
-    let control = control::Control::new(asks_in.clone());
+    let folder = config.state_folder.clone();
+    let (control_in, control_inbox) = mpsc::channel(CONTROL_INBOX);
+    let control = control::Control::new(control_in.clone());
     if let Some(at) = config.control {
         control.clone().listen(at).await?;
     }
-    // Before a process that runs is asked to hand over: nobody serves from then on until this one does.
-    let known = config::known(&config.catalogue);
+    // Read before a running process is asked to hand over, as no process serves clients from then on until
+    // this one is ready.
+    let known = config::read_known_list(&config.catalogue_limits);
     let claimed = tokio::select! {
         claimed = handover::claim(&folder, &config.around) => claimed,
-        () = signals.told() => return Ok(End::Told),
+        () = signals.received() => return Ok(End::Terminated),
     };
-    let (owner, before) = claimed.map_err(|e| format!("the right to {}: {e}", folder.display()))?;
-    let how = journal::How {
-        folder: &config.state,
+    let (owner, handover) =
+        claimed.map_err(|e| format!("cannot lock the state folder {}: {e}", folder.display()))?;
+    let options = journal::JournalOptions {
+        folder: &config.state_folder,
         name: &config.name,
         disk_mb: config.limits.disk_mb,
         max_attempts: config.settings.max_attempts,
         sync: config.sync,
     };
-    let journal = journal::Journal::open(owner, &how)
-        .map_err(|e| format!("journal in {}: {e}", config.state.display()))?;
-    let maint = maint::Maint::open(&config.state, config.settings.slow_start_window / MS)
-        .map_err(|e| format!("endpoints taken out in {}: {e}", config.state.display()))?;
+    let journal = journal::Journal::open(owner, &options)
+        .map_err(|e| format!("journal in {}: {e}", config.state_folder.display()))?;
+    let maintenance =
+        maintenance::Maintenance::open(&config.state_folder, config.settings.slow_start_window / MS)
+            .map_err(|e| format!("list of endpoints taken out in {}: {e}", config.state_folder.display()))?;
     let (core_in, inbox) = mpsc::channel(INBOX);
     let (notices_in, notices) = mpsc::unbounded_channel();
     let settings = &config.settings;
-    // Some are for the listener, the watch, notices and files. Of the rest half are the clients', a sixteenth
-    // is for clients that are only told to come again, and the others are for calls and idle connections.
-    let sockets =
-        config.limits.sockets.saturating_sub(OWN_SOCKETS + if config.control.is_some() { ASKS } else { 0 });
-    let calls = (settings.slots * 2 + 32).max(sockets / 4).min(sockets * 3 / 8);
+    // Some descriptors are for the listener, the watch, notices and files. Of the rest half are for clients,
+    // a sixteenth for clients that are only answered 503, and the others for calls and idle connections to
+    // endpoints.
+    let sockets = config
+        .limits
+        .sockets
+        .saturating_sub(OWN_DESCRIPTORS + if config.control.is_some() { CONTROL_INBOX } else { 0 });
+    let max_endpoint_connections = (settings.slots * 2 + 32).max(sockets / 4).min(sockets * 3 / 8);
     let directory = Rc::new(directory::Directory::new(&config.around, &settings.kinds));
     let (dial, idle) = (settings.connect_timeout, settings.idle_timeout);
-    let client = Rc::new(client::Client::new(core_in.clone(), directory.clone(), dial, idle, calls));
+    let client = Rc::new(client::Client::new(
+        core_in.clone(),
+        directory.clone(),
+        dial,
+        idle,
+        max_endpoint_connections,
+    ));
     spawn_local(client.clone().keep_pool());
     let backoff = discovery::Backoff::new(settings.sender_count, config.seed);
-    let (move_to, discovery) = watch::channel(config.discovery);
-    let noticing = spawn_local(notices::run(discovery.clone(), notices, core_in.clone()));
-    let move_to = Rc::new(move_to);
-    let reloaded = move_to.clone();
+    let (set_discovery, discovery) = watch::channel(config.discovery);
+    let notice_task = spawn_local(notices::run(discovery.clone(), notices, core_in.clone()));
+    let set_discovery = Rc::new(set_discovery);
+    let reload = set_discovery.clone();
     spawn_local(async move {
         while hangup.recv().await.is_some() {
-            match config::discovery_again().await {
+            match config::reload_discovery().await {
                 Ok(at) => {
                     tracing::info!(discovery = %at, "reloaded");
-                    reloaded.send_replace(at);
+                    reload.send_replace(at);
+                }
+                Err(error) => {
+                    tracing::warn!(%error, "cannot reload the address of discovery; keeping the current one")
                 }
-                Err(error) => tracing::warn!(%error, "cannot reload; going on as before"),
             }
         }
     });
     let listen = config.listen;
     let around = config.around.clone();
     let effects = settings.classes.iter().map(|c| c.effect).collect();
-    let limits = config.catalogue;
+    let limits = config.catalogue_limits;
     let client = (directory.clone(), client);
-    let mut core = core::Core::new(config, journal, maint, client, inbox, asks, notices_in);
-    let (state, before) = before.unzip();
-    let passed: HashSet<_> =
+    let mut core = core::Core::new(config, journal, maintenance, client, inbox, control_inbox, notices_in);
+    let (state, predecessor) = handover.unzip();
+    let handed_over: HashSet<_> =
         state.iter().flat_map(|s| &s.attempts_in_flight).map(|&(id, attempt, _)| (id, attempt)).collect();
     let start = core.start(known, state.map(|s| *s));
     let intake = list_intake::ListIntake::new(start.watched, limits);
     let watch = discovery::follow(discovery, core_in.clone(), backoff, intake, start.generation);
-    let following = spawn_local(watch);
-    core.resume(start.unended, start.new_to_module).await;
-    let out = core.calls().into_iter().filter(|(call, _)| passed.contains(call)).collect();
+    let watch_task = spawn_local(watch);
+    core.resume(start.handed_over, start.new_to_policy).await;
+    let in_flight =
+        core.attempts_in_flight().into_iter().filter(|(call, _)| handed_over.contains(call)).collect();
     let mut core = spawn_local(core.run());
 
-    // Only now: a sender is used once it answers, and what the journal holds comes first.
-    let listener = match (&before, kept) {
-        (Some(before), _) => before.listener.try_clone(),
+    // The sender listens only now: clients use it as soon as it answers, and the messages in the journal come
+    // first.
+    let listener = match (&predecessor, kept) {
+        (Some(predecessor), _) => predecessor.listener.try_clone(),
         (None, Some(kept)) => Ok(kept),
         (None, None) => TcpListener::bind(listen).await.and_then(TcpListener::into_std),
     };
     let listener = listener.map_err(|e| format!("cannot listen on {listen}: {e}"))?;
-    let accepts =
+    let accepting_listener =
         listener.try_clone().and_then(TcpListener::from_std).map_err(|e| format!("{listen}: {e}"))?;
-    let (change, phase) = watch::channel(server::Phase::Serving);
+    let (set_phase, phase) = watch::channel(server::Phase::Serving);
     let (moved_in, moved) = mpsc::unbounded_channel();
-    let places = (sockets / 2, sockets / 16);
+    let max_connections = (sockets / 2, sockets / 16);
     let server = Rc::new(server::Server::new(
         (core_in.clone(), directory.clone()),
         around,
         effects,
-        places,
+        max_connections,
         phase,
         moved_in,
     ));
-    let accepting = spawn_local(server.clone().accept(accepts));
-    if let Some(before) = before {
-        handover::follow(before, out, core_in.clone(), asks_in.clone(), server.clone());
+    let accept_task = spawn_local(server.clone().accept(accepting_listener));
+    if let Some(predecessor) = predecessor {
+        handover::follow_predecessor(
+            predecessor,
+            in_flight,
+            core_in.clone(),
+            control_in.clone(),
+            server.clone(),
+        );
     }
-    // Without it messages are served all the same; a second process then waits for this one's end.
-    let door = handover::listen(&folder)
-        .inspect_err(|error| tracing::error!(%error, "cannot be asked to hand over"))
+    // Without this socket the sender still serves messages, and a new process waits for its end.
+    let handover_socket = handover::listen(&folder)
+        .inspect_err(|error| tracing::error!(%error, "cannot listen for handover requests"))
         .ok();
     control.serving.set(true);
 
     let next = loop {
         tokio::select! {
-            () = signals.told() => break None,
-            // It only ends by itself when it has failed; a new process takes up the journal.
+            () = signals.received() => break None,
+            // The core ends by itself only if it has failed. A new process can resume from the journal.
             ended = &mut core => return Err(format!("the core ended: {:?}", ended.map(|_| ()))),
-            next = handover::asked(door.as_ref()) => {
+            next = handover::next_request(handover_socket.as_ref()) => {
                 let (reply, state) = oneshot::channel();
-                let _ = asks_in.send(input::Input::HandOver(reply)).await;
+                let _ = control_in.send(input::Input::HandOver(reply)).await;
                 if let Ok(Some(state)) = state.await {
                     break Some((next, state));
                 }
@@ -242,41 +270,45 @@
     };
     if let Some((next, state)) = next {
         let Ok(core::Stop::HandedOver(rest)) = core.await else { return Err("the core has failed".into()) };
-        // The lists, the notices and what comes to the door are the next process's from now on.
-        following.abort();
-        noticing.abort();
-        accepting.abort();
-        let _ = change.send(server::Phase::Moving);
-        let told = async {
-            signals.told().await;
+        // From now on the new process follows discovery, sends notices and accepts connections.
+        watch_task.abort();
+        notice_task.abort();
+        accept_task.abort();
+        let _ = set_phase.send(server::Phase::Moving);
+        let terminated = async {
+            signals.received().await;
             control.serving.set(false);
         };
-        let passed = handover::pass_on(next, (state, &listener), rest, server, moved, (told, END)).await;
-        return Ok(match passed {
-            handover::Passed::On => End::Told,
-            handover::Passed::Back => End::StartOver { listener, discovery: *move_to.borrow() },
+        let ended =
+            handover::serve_successor(next, (state, &listener), rest, server, moved, (terminated, END_BY))
+                .await;
+        return Ok(match ended {
+            handover::HandoverEnd::Completed => End::Terminated,
+            handover::HandoverEnd::SuccessorLost => {
+                End::StartOver { listener, discovery: *set_discovery.borrow() }
+            }
         });
     }
-    let told = Instant::now();
+    let terminated_at = Instant::now();
     control.serving.set(false);
-    sleep(ACCEPT_ON).await;
-    let _ = change.send(server::Phase::Closing);
-    let _ = accepting.await;
+    sleep(ACCEPT_UNTIL).await;
+    let _ = set_phase.send(server::Phase::Closing);
+    let _ = accept_task.await;
     server.close(listener);
-    let gone = async {
+    let clients_gone = async {
         while server.open.get() > 0 {
             sleep(Duration::from_millis(10)).await;
         }
     };
-    let _ = timeout(CLIENTS_GONE - ACCEPT_ON, gone).await;
-    let _ = core_in.send(input::Input::ShutDown(told + BEGIN_ON)).await;
-    let _ = timeout_at(told + END, core_in.closed()).await;
-    // What the core did not take any more is refused; that answer still has to be written.
+    let _ = timeout(CLIENTS_UNTIL - ACCEPT_UNTIL, clients_gone).await;
+    let _ = core_in.send(input::Input::ShutDown(terminated_at + BEGIN_UNTIL)).await;
+    let _ = timeout_at(terminated_at + END_BY, core_in.closed()).await;
+    // Requests that the core has not taken are refused, and that reply still has to be written.
     let answered = async {
         while server.owes_answers() {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    let _ = timeout_at(told + LAST_ANSWERS, answered).await;
-    Ok(End::Told)
+    let _ = timeout_at(terminated_at + ANSWERS_UNTIL, answered).await;
+    Ok(End::Terminated)
 }
--- a/src/bin/sender/maint.rs
+++ b/src/bin/sender/maintenance.rs
@@ -1,4 +1,5 @@
-//! Which endpoints operators have taken out, kept in `$EDGE_STATE` from before they are told yes.
+//! The endpoints that operators have taken out, stored in `$EDGE_STATE` before an operator's call is
+//! answered.
 use sender::records::unix_time_ms;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,58 +7,62 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
+/// The content of the file, by endpoint name.
 #[derive(Serialize, Deserialize, Clone, Default)]
 struct Names {
     #[serde(default)]
     out: BTreeSet<String>,
-    /// When the last ones were put back, in Unix time in milliseconds: they are cold from then on.
+    /// When each endpoint was put back, as Unix time in milliseconds. Its slow start counts from then.
     #[serde(default)]
     back: BTreeMap<String, i64>,
 }
 
-pub struct Maint {
+/// The endpoints that operators have taken out or put back.
+pub struct Maintenance {
     path: PathBuf,
     names: Names,
-    /// For how long one that was put back is remembered.
-    cold_ms: i64,
+    /// How long an endpoint that was put back is remembered: the length of its slow start.
+    slow_start_ms: i64,
 }
 
-impl Maint {
-    pub fn open(folder: &Path, cold_ms: i64) -> io::Result<Maint> {
+impl Maintenance {
+    /// Reads the file in the state folder. A file that can't be parsed counts as empty.
+    pub fn open(folder: &Path, slow_start_ms: i64) -> io::Result<Maintenance> {
         let path = folder.join("maint");
         let names = match fs::read(&path) {
             Ok(bytes) => serde_json::from_slice(&bytes).unwrap_or_else(|error| {
-                tracing::error!(%error, "the list of endpoints taken out can't be read; taken as empty");
+                tracing::error!(%error, "cannot parse the list of endpoints taken out; treating it as empty");
                 Names::default()
             }),
             Err(e) if e.kind() == io::ErrorKind::NotFound => Names::default(),
             Err(e) => return Err(e),
         };
-        Ok(Maint { path, names, cold_ms })
+        Ok(Maintenance { path, names, slow_start_ms })
     }
 
     pub fn is_out(&self, name: &str) -> bool {
         self.names.out.contains(name)
     }
 
-    /// Whether operators have told anything of it that still counts.
+    /// Returns whether an endpoint is out, or was put back and is still remembered.
     pub fn knows(&self, name: &str) -> bool {
         self.is_out(name) || self.names.back.contains_key(name)
     }
 
-    /// Names that are out, and those put back of late with the time of it.
+    /// Returns the endpoints that are out, with None, and those put back recently, with the Unix time in
+    /// milliseconds.
     pub fn all(&self) -> impl Iterator<Item = (&String, Option<i64>)> {
         let back = self.names.back.iter().map(|(name, &at)| (name, Some(at)));
         self.names.out.iter().map(|name| (name, None)).chain(back)
     }
 
-    /// Keeps the change; if that fails nothing has changed. False where there was nothing to change.
+    /// Stores a change, which has no effect if that fails. Returns false if there was nothing to change.
     pub fn set(&mut self, name: &str, out: bool) -> io::Result<bool> {
         if out == self.is_out(name) {
             return Ok(false);
         }
         let (mut names, now) = (self.names.clone(), unix_time_ms());
-        names.back.retain(|_, &mut at| now - at < self.cold_ms);
+        names.back.retain(|_, &mut at| now - at < self.slow_start_ms);
         if out {
             names.out.insert(name.to_string());
             names.back.remove(name);
