--- a/src/bin/sender/core.rs
+++ b/src/bin/sender/core.rs
@@ -56,7 +56,7 @@
 
 /// A message that a client handed in during the current round.
 struct Submitted {
-    message: Rc<AcceptedMessage>,
+    accepted: Rc<AcceptedMessage>,
     /// More than one where the same message came twice in a round.
     replies: Vec<oneshot::Sender<Reply>>,
 }
@@ -260,24 +260,24 @@
         self.attempts_in_flight.clone()
     }
 
-    /// Resumes the messages in the journal. `handed_over` are those that the policy already knows from a
+    /// Resumes the messages in the journal. `from_handover` are those that the policy already knows from a
     /// handover.
     ///
     /// Without a handover the list of the configuration may be old, so discovery's first list is awaited for
     /// a short time.
-    pub async fn resume(&mut self, handed_over: Option<HeldMessages>, new_to_policy: bool) {
+    pub async fn resume(&mut self, from_handover: Option<HeldMessages>, new_to_policy: bool) {
         let mut events = Vec::new();
         self.apply_maintenance(&mut events);
         if new_to_policy {
             self.on_demand.directory_replaced(&self.policy, &*self.directory, &mut events);
         }
-        if handed_over.is_none() {
+        if from_handover.is_none() {
             let first = timeout(FIRST_LIST_TIMEOUT, self.inbox.recv()).await;
             if let Ok(Some(Input::Catalogue(taken))) = first {
                 self.apply_list(taken, &mut events);
             }
         }
-        let handed_over = handed_over.unwrap_or_default();
+        let from_handover = from_handover.unwrap_or_default();
         let (now, unix_ms) = (self.policy_time(Instant::now()), unix_time_ms());
         let (mut undelivered, mut resumed, mut known) = (Vec::new(), Vec::new(), Vec::new());
         for (&id, pending) in self.journal.pending() {
@@ -295,7 +295,7 @@
                     may_have_run: !a.never_ran,
                 })
                 .collect();
-            if let Some((deadline, attempts)) = handed_over.get(&id) {
+            if let Some((deadline, attempts)) = from_handover.get(&id) {
                 known.push((message, *deadline, *attempts));
                 continue;
             }
@@ -652,7 +652,7 @@
             }
         }
         for (message, reply) in refused {
-            self.forget(message.message.id);
+            self.forget(message.accepted.id);
             message.reply(reply);
         }
         for &(id, outcome) in &failed {
@@ -661,7 +661,7 @@
                 undelivered.push((held.message, outcome));
             }
         }
-        let mut all: Vec<Record> = submitted.values().map(|s| Record::Accepted(s.message.clone())).collect();
+        let mut all: Vec<Record> = submitted.values().map(|s| Record::Accepted(s.accepted.clone())).collect();
         all.append(&mut records);
         let ended = all.len() - submitted.len();
         all.append(&mut started);
@@ -746,7 +746,7 @@
         let message = self.hold(accepted.clone(), class, left, self.policy_time(deadline), 0);
         self.on_demand.before_message(&self.policy, &*self.directory, message.dest, &mut round.events);
         round.events.push(Event::Message(message));
-        round.submitted.insert(accepted.id, Submitted { message: accepted, replies: vec![reply] });
+        round.submitted.insert(accepted.id, Submitted { accepted, replies: vec![reply] });
     }
 
     /// Adds a message to those held, and returns it as the policy is to be told of it.
--- a/src/bin/sender/main.rs
+++ b/src/bin/sender/main.rs
@@ -75,13 +75,13 @@
         }
     };
     // If the new process dies during an upgrade, this one starts over with the listener that it still has.
-    let mut listener = None;
+    let mut kept_listener = None;
     loop {
-        let run = run(config.clone(), &mut signals, listener.take());
+        let run = run(config.clone(), &mut signals, kept_listener.take());
         match LocalSet::new().block_on(&runtime, run) {
             Ok(End::Terminated) => return ExitCode::SUCCESS,
-            Ok(End::StartOver { listener: kept, discovery }) => {
-                listener = Some(kept);
+            Ok(End::StartOver { listener, discovery }) => {
+                kept_listener = Some(listener);
                 config.discovery = discovery;
             }
             Err(error) => {
