--- a/src/bin/sender/config.rs
+++ b/src/bin/sender/config.rs
@@ -149,7 +149,7 @@
     pub settings: Settings,
     /// The settings as the file has them.
     pub settings_json: String,
-    pub around: ProgramSettings,
+    pub program_settings: ProgramSettings,
 }
 
 /// Returns an environment variable, unless it is empty.
@@ -223,7 +223,8 @@
 /// Reads the configuration. Errors name the variable or the member that is wrong.
 pub fn read() -> Result<Config, String> {
     let (path, file) = read_file()?;
-    let (settings, around) = settings::read(&file.settings).map_err(|e| format!("{path}: settings: {e}"))?;
+    let (settings, program_settings) =
+        settings::read(&file.settings).map_err(|e| format!("{path}: settings: {e}"))?;
     let control = env_var("EDGE_CONTROL").or(file.control);
     let sync = file.store.sync().map_err(|e| format!("{path}: {e}"))?;
     let snapshot_interval = file.store.snapshot_interval().map_err(|e| format!("{path}: {e}"))?;
@@ -242,7 +243,7 @@
         catalogue_limits,
         settings,
         settings_json: file.settings.to_string(),
-        around,
+        program_settings,
     })
 }
 
--- a/src/bin/sender/core.rs
+++ b/src/bin/sender/core.rs
@@ -81,7 +81,7 @@
 pub struct Core<F: Files = Disk> {
     policy: Sender,
     settings: Settings,
-    around: ProgramSettings,
+    program_settings: ProgramSettings,
     journal: Journal<F>,
     maintenance: Maintenance,
     snapshots: Option<SnapshotFile>,
@@ -158,7 +158,7 @@
             seed: config.seed,
             policy: Sender::new(config.settings.clone(), config.seed),
             settings: config.settings,
-            around: config.around,
+            program_settings: config.program_settings,
             next_id: journal.pending().keys().next_back().map_or(0, |id| id + 1),
             journal,
             maintenance,
@@ -302,7 +302,7 @@
             // The policy numbers further attempts from this count. The numbers in the journal may have gaps,
             // where an attempt could not be recorded.
             let attempts = past.len() as u32;
-            let Some(class) = position(&self.around.classes, &message.class) else {
+            let Some(class) = position(&self.program_settings.classes, &message.class) else {
                 // The policy can't decide, as the settings no longer have the message's class.
                 let may_have_run = past.iter().any(|p| p.may_have_run);
                 let outcome = if may_have_run { Undelivered::GivenUp } else { Undelivered::HandedBack(None) };
@@ -733,7 +733,8 @@
         message.id = self.next_id;
         let space = self.journal.space_for(&message, round.reserved);
         let space = space.filter(|_| self.held.len() < self.settings.max_open && self.shut_down_at.is_none());
-        let (Some(space), Some(class)) = (space, position(&self.around.classes, &message.class)) else {
+        let (Some(space), Some(class)) = (space, position(&self.program_settings.classes, &message.class))
+        else {
             let after = Duration::from_nanos(self.policy.backoff(message.dest).max(0) as u64);
             tracing::debug!(trace = message.trace_id, dest = message.dest, ?after, "no room");
             let _ = reply.send(Reply::Refused(Some(after)));
@@ -759,7 +760,7 @@
         attempts: u32,
     ) -> Message {
         let (id, dest) = (message.id, message.dest);
-        let tenant = position(&self.around.tenants, &message.tenant).unwrap_or(0);
+        let tenant = position(&self.program_settings.tenants, &message.tenant).unwrap_or(0);
         // Links the trace id, which is the same in every sender, to the number that other log lines of this
         // one use.
         tracing::debug!(
--- a/src/bin/sender/core/tests.rs
+++ b/src/bin/sender/core/tests.rs
@@ -148,7 +148,7 @@
         "Safety": {"StartCapacity": 0.26, "ColdNs": 9_500_000_000u64, "FallMultiple": 1.5,
             "OverloadForNs": 2_000_000_000},
         "Services": [class]});
-    let (read, around) = sender::settings::read(&settings).unwrap();
+    let (read, program_settings) = sender::settings::read(&settings).unwrap();
     let nowhere = "127.0.0.1:1".parse().unwrap();
     Config {
         name: "n0".into(),
@@ -163,7 +163,7 @@
         catalogue_limits: catalogue::Limits::of_memory(64 << 20),
         settings: read,
         settings_json: settings.to_string(),
-        around,
+        program_settings,
     }
 }
 
@@ -248,7 +248,7 @@
     let (core_in, inbox) = mpsc::channel(64);
     let (_, control_inbox) = mpsc::channel(1);
     let (notices, _) = mpsc::unbounded_channel();
-    let directory = Rc::new(Directory::new(&config.around, &config.settings.kinds));
+    let directory = Rc::new(Directory::new(&config.program_settings, &config.settings.kinds));
     let client = Client::new(core_in.clone(), directory.clone(), 1_000_000_000, 20_000_000_000, 32);
     let listed = (directory, Rc::new(client));
     let maintenance = Maintenance::open(folder, 1).unwrap();
--- a/src/bin/sender/handover.rs
+++ b/src/bin/sender/handover.rs
@@ -218,7 +218,7 @@
 /// that one hands over or ends.
 pub async fn claim(
     folder: &Path,
-    around: &ProgramSettings,
+    program_settings: &ProgramSettings,
 ) -> io::Result<(Owner, Option<(Box<HandoverState>, Predecessor)>)> {
     let mut logged = false;
     // An old process of version 1 closes the connection on a request for a version that it does not know.
@@ -228,7 +228,7 @@
             return Ok((owner, None));
         }
         let version = versions.next().unwrap_or(VERSION);
-        match timeout(HANDOVER_TIMEOUT, request_handover(folder, version, around))
+        match timeout(HANDOVER_TIMEOUT, request_handover(folder, version, program_settings))
             .await
             .unwrap_or(Err(io::ErrorKind::TimedOut.into()))
         {
@@ -253,14 +253,14 @@
 async fn request_handover(
     folder: &Path,
     version: u32,
-    around: &ProgramSettings,
+    program_settings: &ProgramSettings,
 ) -> io::Result<(Box<HandoverState>, Predecessor)> {
     let socket = SocketPath::new(folder)?;
     let (mut reader, writer) = split(UnixStream::connect(&socket.path).await?);
     writer.send(&Frame::HandoverRequest { version }, None).await?;
     let (state, listener) = if version == PREVIOUS_VERSION {
         let (FrameV1::State(state), listener) = reader.next().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
-        (Box::new(state.upgrade(&around.kinds)), listener)
+        (Box::new(state.upgrade(&program_settings.kinds)), listener)
     } else {
         match reader.next().await?.ok_or(io::ErrorKind::UnexpectedEof)? {
             (Frame::State(state), listener) => (state, listener),
--- a/src/bin/sender/main.rs
+++ b/src/bin/sender/main.rs
@@ -143,7 +143,7 @@
     // this one is ready.
     let known = config::read_known_list(&config.catalogue_limits);
     let claimed = tokio::select! {
-        claimed = handover::claim(&folder, &config.around) => claimed,
+        claimed = handover::claim(&folder, &config.program_settings) => claimed,
         () = signals.received() => return Ok(End::Terminated),
     };
     let (owner, handover) =
@@ -171,7 +171,7 @@
         .sockets
         .saturating_sub(OWN_DESCRIPTORS + if config.control.is_some() { CONTROL_INBOX } else { 0 });
     let max_endpoint_connections = (settings.slots * 2 + 32).max(sockets / 4).min(sockets * 3 / 8);
-    let directory = Rc::new(directory::Directory::new(&config.around, &settings.kinds));
+    let directory = Rc::new(directory::Directory::new(&config.program_settings, &settings.kinds));
     let (dial, idle) = (settings.connect_timeout, settings.idle_timeout);
     let client = Rc::new(client::Client::new(
         core_in.clone(),
@@ -200,7 +200,7 @@
         }
     });
     let listen = config.listen;
-    let around = config.around.clone();
+    let program_settings = config.program_settings.clone();
     let effects = settings.classes.iter().map(|c| c.effect).collect();
     let limits = config.catalogue_limits;
     let client = (directory.clone(), client);
@@ -232,7 +232,7 @@
     let max_connections = (sockets / 2, sockets / 16);
     let server = Rc::new(server::Server::new(
         (core_in.clone(), directory.clone()),
-        around,
+        program_settings,
         effects,
         max_connections,
         phase,
