--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter, run as a process on lines written here.
+//! Runs the simulator adapter as a process on input lines.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -8,6 +8,7 @@
 "Safety":{"StartCapacity":0.2,"ColdNs":9000000000,"FallMultiple":2,"OverloadForNs":3000000000},
 "Services":[{"PromiseNs":2000000000,"DeadlineNs":16000000000,"Effect":"keyed","WindowNs":4000000000}]}"#;
 
+/// Runs the adapter on an input.
 fn run(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -15,11 +16,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may end before it has read all, as it should on malformed input.
+    // The write may fail, as the adapter exits early on malformed input.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the adapter exits")
 }
 
+/// The lines that launch sender 3 and announce one endpoint of destination 57.
 fn launch(conf: &str) -> String {
     format!(
         "MARK\tWallNs=1000000000\nINSTANCE\tSender=3\nLAUNCH\tPrng=7\tConf={}\nTABLE\tSlot=0\tLines=1\n\
@@ -29,11 +31,12 @@
     )
 }
 
+/// The lines that hand a message for destination 57 to sender 3.
 const ITEM: &str = "MARK\tWallNs=1005000000\nINSTANCE\tSender=3\n\
     WORK_ITEM\tRef=5d3a91c4-b33a-4d2b-ab9b-826ca191ebb8\tCls=0\tTimeLeftNs=16000000000\tToExchange=57\tNew=1\nFLUSH\n";
 
 #[test]
-fn answers_each_batch_and_names_what_it_was_given() {
+fn answers_each_batch_with_given_names() {
     let out = run(&(launch(CONF) + ITEM));
     let text = String::from_utf8(out.stdout).unwrap();
     assert!(out.status.success());
@@ -43,7 +46,7 @@
 }
 
 #[test]
-fn a_killed_sender_has_forgotten_everything() {
+fn killed_sender_forgets_everything() {
     let kill = "MARK\tWallNs=1010000000\nINSTANCE\tSender=3\nCRASH_NOW\nFLUSH\n";
     let again = launch(CONF).replace("1000000000", "1015000000");
     let late =
@@ -57,7 +60,7 @@
 }
 
 #[test]
-fn malformed_lines_get_one_plain_message_with_line_and_field() {
+fn malformed_line_gets_one_error_with_line_and_field() {
     let cases = [
         (launch(CONF) + "MARK\tWallNs=x\n", "line 8: MARK field WallNs"),
         (launch(CONF) + "NOISE\n", "line 8: NOISE outside a batch"),
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -39,7 +39,7 @@
 
 /// Connections to endpoints that are open, as these see it.
 fn open(endpoints: &[Peer]) -> usize {
-    let open = |peer: &Peer| (0..peer.connections()).filter(|&number| !peer.has_ended(number)).count();
+    let open = |peer: &Peer| (0..peer.connections()).filter(|&number| !peer.is_closed(number)).count();
     endpoints.iter().map(open).sum()
 }
 
@@ -59,7 +59,7 @@
             open(&endpoints) == used.min(CONNECTIONS)
         });
         let kept = used.saturating_sub(CONNECTIONS);
-        let closed: Vec<usize> = (0..used).filter(|&e| endpoints[e].has_ended(0)).collect();
+        let closed: Vec<usize> = (0..used).filter(|&e| endpoints[e].is_closed(0)).collect();
         assert_eq!(closed, (0..kept).collect::<Vec<_>>(), "those that stood idle longest are closed");
     }
     // The youngest are used again; the others come on a new connection.
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -316,7 +316,7 @@
         assert_eq!(node.hand_in("order", "m", 7, 900, b"x"), 202);
         let call = endpoint.wait_for("m", 1).remove(0);
         // It holds no slot and no connection any longer than that.
-        node.wait_until("the call is over", || endpoint.has_ended(call.connection));
+        node.wait_until("the call is over", || endpoint.is_closed(call.connection));
         assert_eq!(node.hand_in("order", "next", 7, 16_000, b"x"), 202);
         endpoint.wait_for("next", 1);
         if !in_time {
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,24 +1,25 @@
-//! The second address, from outside: healthchecks, and endpoints that operators take out.
+//! The control address: health checks, and endpoints that operators take out.
 mod peers;
 use peers::*;
 use serde_json::json;
 use std::io::Write;
 use std::net::TcpStream;
 
-fn with_control(discovery: &Discovery) -> Node {
+/// Starts a sender that has a control address.
+fn start_with_control(discovery: &Discovery) -> Node {
     let control = free_address().to_string();
     Node::start_with(discovery, json!([]), move |c| c["control"] = json!(control))
 }
 
 #[test]
-fn an_endpoint_taken_out_stays_out_over_lists_and_a_kill_until_it_is_put_back() {
+fn endpoint_stays_out_over_lists_and_kill_until_put_back() {
     let (one, other) = (Peer::new(|_| ok()), Peer::new(|_| ok()));
     let both = json!([ready("e-1", one.address, 7), ready("e-2", other.address, 7)]);
     let discovery = Discovery::new(both.clone());
-    let mut node = with_control(&discovery);
+    let mut node = start_with_control(&discovery);
     assert_eq!(node.control("GET /healthcheck"), 200);
     assert_eq!(node.control("PUT /endpoints/e-1/maint"), 200);
-    assert_eq!(node.control("PUT /endpoints/e-1/maint"), 200, "calls repeat safely");
+    assert_eq!(node.control("PUT /endpoints/e-1/maint"), 200, "the request is idempotent");
     let deliver = |node: &Node, peer: &Peer, id: &str| {
         assert_eq!(node.hand_in("alert", id, 7, 16_000, b"x"), 202);
         peer.wait_for(id, 1);
@@ -34,7 +35,7 @@
     several(&node, "c");
     assert!(one.seen().is_empty());
     discovery.set(json!([ready("e-1", one.address, 7)]));
-    node.wait_until("nothing is left to deliver to", || node.control("GET /healthcheck") == 503);
+    node.wait_until("no usable endpoint is listed", || node.control("GET /healthcheck") == 503);
     assert_eq!(node.control("PUT /endpoints/e-1/ready"), 200);
     assert_eq!(node.control("PUT /endpoints/e-1/ready"), 200);
     assert_eq!(node.control("GET /healthcheck"), 200);
@@ -42,11 +43,11 @@
 }
 
 #[test]
-fn calls_that_are_not_right_get_a_fitting_no() {
+fn invalid_requests_get_matching_status() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let node = with_control(&discovery);
-    for (call, status) in [
+    let node = start_with_control(&discovery);
+    for (request, status) in [
         ("PUT /endpoints/e-9/maint", 404),
         ("PUT /endpoints/e-9/ready", 404),
         ("PUT /endpoints//maint", 404),
@@ -57,21 +58,21 @@
         ("POST /healthcheck", 405),
         ("GET /endpoints/e-1/maint", 405),
     ] {
-        assert_eq!(node.control(call), status, "{call}");
+        assert_eq!(node.control(request), status, "{request}");
     }
     let status = |bytes: &str| send_request(node.control.unwrap(), bytes.as_bytes()).map(|r| r.start_line);
     assert!(status("no call at all\r\n\r\n").unwrap().contains(" 400 "));
     assert!(status("PUT /endpoints/e-1/maint HTTP/1.1\r\n\r\n").unwrap().contains(" 400 "), "no Host");
     assert!(status("GET /healthcheck HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n").unwrap().contains(" 400 "));
-    assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202, "nothing was taken out");
+    assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202, "no endpoint was taken out");
     endpoint.wait_for("m", 1);
 }
 
 #[test]
-fn callers_that_finish_nothing_keep_nobody_out() {
+fn unfinished_requests_do_not_block_others() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let node = with_control(&discovery);
+    let node = start_with_control(&discovery);
     let before = node.descriptors();
     let unfinished: Vec<TcpStream> = (0..100)
         .map(|i| {
@@ -90,13 +91,13 @@
 }
 
 #[test]
-fn a_sender_told_to_end_is_no_longer_ready() {
+fn sender_is_not_ready_after_sigterm() {
     let endpoint = Peer::new(|_| Reply::Hang);
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let mut node = with_control(&discovery);
+    let mut node = start_with_control(&discovery);
     assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
     node.terminate();
-    node.wait_until("it says no", || node.control("GET /healthcheck") == 503);
+    node.wait_until("the health check fails", || node.control("GET /healthcheck") == 503);
     assert!(node.wait_exit().success());
 }
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The real sender as a process, and small peers for it over loopback: endpoints, discovery, clients.
+//! Runs the real sender as a process, with stub endpoints, a stub discovery and clients over loopback.
 #![allow(dead_code)]
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -10,25 +10,29 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// Far longer than anything here takes: a bound for what would otherwise never end.
+/// How long a test waits for anything at most: far longer than anything here takes.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One HTTP message as it was read.
+/// An HTTP request or response as it was read.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub start_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
+    /// The number of its connection, counted by the peer.
     pub connection: usize,
+    /// When it had been read whole.
     pub at: Instant,
 }
 
 impl Request {
+    /// Returns the trace id, or an empty text.
     pub fn id(&self) -> &str {
         self.headers.get("x-trace-id").map_or("", String::as_str)
     }
 }
 
+/// Reads a request or response; None if the connection ends before its end.
 pub fn read_message(reader: &mut BufReader<TcpStream>, connection: usize) -> Option<Request> {
     let mut line = String::new();
     if reader.read_line(&mut line).ok()? == 0 {
@@ -50,26 +54,29 @@
     Some(Request { start_line, headers, body, connection, at: Instant::now() })
 }
 
+/// A response with a status line, header lines and a body.
 pub fn answer(status: &str, headers: &str, body: &str) -> Reply {
     Reply::Bytes(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()))
 }
 
+/// A response with status 200 and no body.
 pub fn ok() -> Reply {
     answer("200 OK", "", "")
 }
 
 /// What a peer does with a request.
 pub enum Reply {
+    /// Sends the bytes.
     Bytes(String),
-    /// The same, and the connection's end after it.
+    /// Sends the bytes, then closes the connection.
     BytesThenClose(String),
-    /// Ends the connection without an answer.
+    /// Closes the connection without an answer.
     Close,
     /// Never answers, and keeps the connection.
     Hang,
 }
 
-/// A row of an outcome table.
+/// A named case of a table of replies.
 pub type ReplyCase = (&'static str, fn() -> Reply);
 
 type Script = Box<dyn Fn(&Request) -> Reply + Send + Sync>;
@@ -77,13 +84,14 @@
 struct Shared {
     script: Mutex<Script>,
     seen: Mutex<Vec<Request>>,
-    news: Condvar,
+    /// Notified when a request has been seen.
+    seen_changed: Condvar,
     connections: AtomicUsize,
-    /// Numbers of connections that the sender has closed.
-    ended: Mutex<Vec<usize>>,
+    /// Numbers of the connections that the sender has closed.
+    closed: Mutex<Vec<usize>>,
 }
 
-/// A peer that remembers what it was sent and answers by a script.
+/// A stub server that records the requests it gets and answers them by a script.
 #[derive(Clone)]
 pub struct Peer {
     pub address: SocketAddr,
@@ -91,6 +99,7 @@
 }
 
 impl Peer {
+    /// Starts a peer on a free port of 127.0.0.1.
     pub fn new(script: impl Fn(&Request) -> Reply + Send + Sync + 'static) -> Peer {
         Peer::with_listener(TcpListener::bind("127.0.0.1:0").unwrap(), script)
     }
@@ -103,9 +112,9 @@
         let shared = Arc::new(Shared {
             script: Mutex::new(Box::new(script)),
             seen: Mutex::default(),
-            news: Condvar::new(),
+            seen_changed: Condvar::new(),
             connections: AtomicUsize::new(0),
-            ended: Mutex::default(),
+            closed: Mutex::default(),
         });
         let peer = Peer { address, shared: shared.clone() };
         std::thread::spawn(move || {
@@ -118,40 +127,44 @@
         peer
     }
 
+    /// Replaces the script.
     pub fn script(&self, script: impl Fn(&Request) -> Reply + Send + Sync + 'static) {
         *self.shared.script.lock().unwrap() = Box::new(script);
     }
 
-    /// Puts a script before the one there is, for the requests that it answers.
+    /// Adds a script that takes precedence for the requests that it answers.
     pub fn add_script(&self, script: impl Fn(&Request) -> Option<Reply> + Send + Sync + 'static) {
-        let mut held = self.shared.script.lock().unwrap();
-        let old = std::mem::replace(&mut *held, Box::new(|_| Reply::Close));
-        *held = Box::new(move |r| script(r).unwrap_or_else(|| old(r)));
+        let mut current = self.shared.script.lock().unwrap();
+        let old = std::mem::replace(&mut *current, Box::new(|_| Reply::Close));
+        *current = Box::new(move |r| script(r).unwrap_or_else(|| old(r)));
     }
 
+    /// Returns the requests that were answered so far.
     pub fn seen(&self) -> Vec<Request> {
         self.shared.seen.lock().unwrap().clone()
     }
 
+    /// Returns how many connections were accepted so far.
     pub fn connections(&self) -> usize {
         self.shared.connections.load(Ordering::SeqCst)
     }
 
-    pub fn has_ended(&self, connection: usize) -> bool {
-        self.shared.ended.lock().unwrap().contains(&connection)
+    pub fn is_closed(&self, connection: usize) -> bool {
+        self.shared.closed.lock().unwrap().contains(&connection)
     }
 
-    /// Waits until what was seen satisfies `enough`.
+    /// Waits until the requests seen satisfy `enough`. `what` names that in the failure message.
     pub fn wait(&self, what: &str, enough: impl Fn(&[Request]) -> bool) -> Vec<Request> {
         let until = Instant::now() + TIMEOUT;
         let mut seen = self.shared.seen.lock().unwrap();
         while !enough(&seen) {
-            assert!(Instant::now() < until, "waited in vain for {what}; seen: {seen:#?}");
-            seen = self.shared.news.wait_timeout(seen, Duration::from_millis(200)).unwrap().0;
+            assert!(Instant::now() < until, "timed out waiting for {what}; seen: {seen:#?}");
+            seen = self.shared.seen_changed.wait_timeout(seen, Duration::from_millis(200)).unwrap().0;
         }
         seen.clone()
     }
 
+    /// Waits for a number of calls with one trace id, and returns them.
     pub fn wait_for(&self, id: &str, times: usize) -> Vec<Request> {
         let count = |seen: &[Request]| seen.iter().filter(|r| r.id() == id).count();
         let seen = self.wait(&format!("{times} calls with {id}"), |s| count(s) >= times);
@@ -169,24 +182,25 @@
                 break;
             }
         }
-        // Only now, so that whoever waits for a request knows that its answer is on the way.
+        // Recorded only now, so that a test that has waited for a request knows that its answer was sent.
         shared.seen.lock().unwrap().push(request);
-        shared.news.notify_all();
+        shared.seen_changed.notify_all();
         if matches!(reply, Reply::Close | Reply::BytesThenClose(_)) {
             return;
         }
     }
-    shared.ended.lock().unwrap().push(number);
+    shared.closed.lock().unwrap().push(number);
 }
 
-/// The list's version, its entries, and whether discovery is silent.
-type Told = (u64, Value, bool);
+/// The generation of the list, its entries, and whether discovery is silent.
+type ListState = (u64, Value, bool);
 
-/// Discovery: a list that can be changed, watches that wait for it, and the notices.
+/// A stub discovery: it serves a list that tests can change to watches that wait for changes, and takes
+/// notices.
 #[derive(Clone)]
 pub struct Discovery {
     pub peer: Peer,
-    pub state: Arc<(Mutex<Told>, Condvar)>,
+    pub state: Arc<(Mutex<ListState>, Condvar)>,
 }
 
 impl Discovery {
@@ -198,13 +212,13 @@
             if request.start_line.starts_with("POST /reports ") {
                 return answer("204 No Content", "", "");
             }
-            let (lock, news) = &*shared;
+            let (lock, changed) = &*shared;
             let mut state = lock.lock().unwrap();
             let index = request.start_line.split_once("index=").and_then(|(_, r)| r.split(['&', ' ']).next());
             let index = index.and_then(|i| i.parse::<u64>().ok());
             if index.is_some_and(|i| i >= state.0) {
-                // Short, so that the peer's one script is soon free for the notices.
-                state = news.wait_timeout(state, Duration::from_millis(20)).unwrap().0;
+                // A short wait, as the peer runs one script at a time and notices need it too.
+                state = changed.wait_timeout(state, Duration::from_millis(20)).unwrap().0;
             }
             let fresh = index.is_none_or(|i| i < state.0);
             let instances = if fresh { state.1.clone() } else { json!([]) };
@@ -218,26 +232,29 @@
         Discovery { peer, state }
     }
 
+    /// Replaces the list by one of the next generation.
     pub fn set(&self, instances: Value) {
         let mut state = self.state.0.lock().unwrap();
         (state.0, state.1) = (state.0 + 1, instances);
         self.state.1.notify_all();
     }
 
-    /// No list is answered any more; notices are.
+    /// Stops answering requests for lists. Notices are still answered.
     pub fn silence(&self) {
         self.state.0.lock().unwrap().2 = true;
     }
 
-    /// Lists are answered again. A call that was left without an answer stays so.
+    /// Answers requests for lists again. A request that came while discovery was silent stays unanswered.
     pub fn answer_again(&self) {
         self.state.0.lock().unwrap().2 = false;
     }
 
+    /// Returns the notices received so far.
     pub fn notices(&self) -> Vec<Value> {
         notices(&self.peer.seen())
     }
 
+    /// Waits for the notice of a message.
     pub fn wait_for_notice(&self, id: &str) -> Value {
         let of = |seen: &[Request]| notices(seen).into_iter().find(|n| n["message"] == id);
         let seen = self.peer.wait(&format!("a notice for {id}"), |s| of(s).is_some());
@@ -252,15 +269,18 @@
     text.map(|l| serde_json::from_str(&l).unwrap()).collect()
 }
 
+/// An entry of a list.
 pub fn instance(name: &str, at: SocketAddr, dest: u64, kind: &str, lifecycle: &str) -> Value {
     json!({"instanceId": name, "hostPort": at.to_string(), "zone": "z", "machineType": kind, "cell": dest,
         "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
+/// An entry of a list for a ready endpoint of kind `plain`.
 pub fn ready(name: &str, at: SocketAddr, dest: u64) -> Value {
     instance(name, at, dest, "plain", "Ready")
 }
 
+/// Sends bytes on a new connection and reads one response.
 pub fn send_request(at: SocketAddr, bytes: &[u8]) -> Option<Request> {
     let mut stream = TcpStream::connect(at).ok()?;
     stream.set_read_timeout(Some(TIMEOUT)).ok()?;
@@ -268,14 +288,14 @@
     read_message(&mut BufReader::new(stream), 0)
 }
 
-/// One call on a second address; its status, if it is answered.
+/// Makes a request without a body, such as `GET /healthz`. Returns the status, or None without a response.
 pub fn control_call(at: SocketAddr, call: &str) -> Option<u16> {
     let answer =
         send_request(at, format!("{call} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").as_bytes())?;
     answer.start_line.split(' ').nth(1)?.parse().ok()
 }
 
-/// A request that hands in a message.
+/// The request that hands in a message.
 pub fn message(class: &str, id: &str, dest: u64, expires_ms: u64, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!(
         "POST /{class} HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: {id}\r\nX-Qos: {class}\r\n\
@@ -291,6 +311,7 @@
 /// The process that ran before an upgrade.
 pub struct OldProcess {
     child: Child,
+    /// Its control address.
     pub control: Option<SocketAddr>,
 }
 
@@ -300,7 +321,7 @@
         self.child.wait().unwrap();
     }
 
-    /// Tells it to end, and waits until it has.
+    /// Sends SIGTERM and waits for the process to exit.
     pub fn finish(&mut self) -> ExitStatus {
         signal(&self.child, "-TERM");
         self.child.wait().unwrap()
@@ -318,8 +339,8 @@
     assert!(Command::new("kill").args([which, &child.id().to_string()]).status().unwrap().success());
 }
 
-/// An address of which nothing else knows, also while nobody listens there: on 127.0.0.1 any peer or connection
-/// that is made meanwhile could be given the port.
+/// Returns an address that nothing else uses, even while nobody listens there. On 127.0.0.1 the port could be
+/// given to another peer or connection in the meantime.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let process = std::process::id().to_be_bytes();
@@ -338,11 +359,11 @@
 
 static FOLDERS: AtomicUsize = AtomicUsize::new(0);
 
-/// The sender with its folder; restarts keep folder, name and address.
+/// A sender process with its folder. Restarts keep the folder, the name and the address.
 pub struct Node {
     pub folder: PathBuf,
     pub address: SocketAddr,
-    /// The second address, if the sender is to have one.
+    /// The control address, if the sender has one.
     pub control: Option<SocketAddr>,
     discovery: SocketAddr,
     child: Option<Child>,
@@ -350,24 +371,26 @@
 }
 
 impl Node {
+    /// Starts a sender with the default configuration, and waits until it is ready.
     pub fn start(discovery: &Discovery) -> Node {
         Node::start_with(discovery, json!([]), |_| {})
     }
 
+    /// Starts a sender with a known list and a changed configuration, and waits until it is ready.
     pub fn start_with(discovery: &Discovery, known: Value, change: impl Fn(&mut Value)) -> Node {
         let node = Node::launch_with(discovery, known, change);
         node.wait_until_ready();
         node
     }
 
-    /// Starts a sender and does not wait until it is ready.
+    /// Starts a sender without waiting until it is ready.
     pub fn launch_with(discovery: &Discovery, known: Value, change: impl Fn(&mut Value)) -> Node {
         let mut node = Node::prepare(discovery.peer.address, known, change);
         node.launch();
         node
     }
 
-    /// One that does not run yet.
+    /// Creates the folder and configuration of a sender that does not run yet.
     pub fn prepare(discovery: SocketAddr, known: Value, change: impl Fn(&mut Value)) -> Node {
         let number = FOLDERS.fetch_add(1, Ordering::SeqCst);
         let folder =
@@ -397,14 +420,15 @@
         node
     }
 
+    /// Returns the state folder.
     pub fn state(&self) -> PathBuf {
         self.folder.join("state")
     }
 
-    /// Bytes in the lasting folder, in whole blocks.
+    /// Returns the bytes of the files in the state folder, in whole blocks of 512.
     pub fn disk_usage(&self) -> u64 {
         fn of(folder: &Path) -> u64 {
-            // A file may go while it is looked at.
+            // A file may be removed in the meantime.
             let entries = std::fs::read_dir(folder).into_iter().flatten().flatten();
             let size = |e: std::fs::DirEntry| match e.metadata() {
                 Ok(m) if m.is_dir() => of(&e.path()),
@@ -416,7 +440,7 @@
         of(&self.state())
     }
 
-    /// Segments of the journal, the oldest first.
+    /// Returns the segments of the journal, the oldest first.
     pub fn segments(&self) -> Vec<PathBuf> {
         let entries = std::fs::read_dir(self.state().join("journal")).unwrap().flatten();
         let mut names: Vec<PathBuf> = entries.map(|e| e.path()).filter(|p| is_segment(p)).collect();
@@ -424,7 +448,7 @@
         names
     }
 
-    /// Starts a process that is expected to end at once by itself; how it did, and the log.
+    /// Starts a process that is expected to exit by itself. Returns its exit status and the log.
     pub fn start_and_expect_exit(&mut self) -> (ExitStatus, String) {
         assert!(self.child.is_none(), "still running");
         let mut child = self.spawn();
@@ -433,41 +457,43 @@
             if let Some(status) = child.try_wait().unwrap() {
                 break status;
             }
-            assert!(Instant::now() < until, "it goes on: {}", self.log());
+            assert!(Instant::now() < until, "the process does not exit: {}", self.log());
             std::thread::sleep(Duration::from_millis(10));
         };
         (status, self.log())
     }
 
-    /// Starts the process, and waits for nothing.
+    /// Starts the process without waiting until it is ready.
     pub fn launch(&mut self) {
         assert!(self.child.is_none(), "still running");
         self.child = Some(self.spawn());
     }
 
+    /// Starts the process again, and waits until it is ready.
     pub fn restart(&mut self) {
         self.launch();
         self.wait_until_ready();
     }
 
-    /// What it answers of its health; None where nobody listens yet.
+    /// Returns the status of a health check; None while nobody listens.
     pub fn health(&self) -> Option<u16> {
         control_call(self.address, "GET /healthz")
     }
 
+    /// Waits until a health check succeeds.
     pub fn wait_until_ready(&self) {
         let until = Instant::now() + TIMEOUT;
         loop {
             if self.health() == Some(200) {
                 return;
             }
-            assert!(Instant::now() < until, "never ready: {}", self.log());
+            assert!(Instant::now() < until, "timed out waiting until the sender is ready: {}", self.log());
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Starts a second process beside the first, with another second address, and waits until it says that it
-    /// is ready. The node is the new process from then on; the old one is what comes back.
+    /// Starts a second process beside the first, with another control address, and waits until it is ready.
+    /// The node is the new process from then on. Returns the old one.
     pub fn upgrade(&mut self) -> OldProcess {
         let at = free_address();
         self.config["control"] = json!(at.to_string());
@@ -499,25 +525,28 @@
             .expect("the sender starts")
     }
 
+    /// Returns the log of all processes that have run in this folder.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// One call on the second address; its status.
+    /// Makes a request on the control address and returns its status.
     pub fn control(&self, call: &str) -> u16 {
-        control_call(self.control.expect("a second address"), call)
+        control_call(self.control.expect("the sender has a control address"), call)
             .unwrap_or_else(|| panic!("{call}: {}", self.log()))
     }
 
-    /// Sends bytes on a new connection and reads one answer.
+    /// Sends bytes on a new connection and reads one response.
     pub fn send_request(&self, bytes: &[u8]) -> Option<Request> {
         send_request(self.address, bytes)
     }
 
+    /// Hands in a message and returns the status of the reply.
     pub fn hand_in(&self, class: &str, id: &str, dest: u64, expires_ms: u64, body: &[u8]) -> u16 {
         self.hand_in_full(class, id, dest, expires_ms, body).0
     }
 
+    /// Hands in a message and returns the status and the headers of the reply.
     pub fn hand_in_full(
         &self,
         class: &str,
@@ -532,30 +561,34 @@
         (answer.start_line.split(' ').nth(1).unwrap().parse().unwrap(), answer.headers)
     }
 
-    /// Goes on with the process that ran before an upgrade.
+    /// Uses the control address of the process that ran before an upgrade again.
     pub fn switch_back_to(&mut self, old: &OldProcess) {
         self.control = old.control;
     }
 
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         let mut child = self.child.take().unwrap();
         child.kill().unwrap();
         child.wait().unwrap();
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Stops the process where it is, until `go_on`.
+    /// Stops the process with SIGSTOP, until `resume`.
     pub fn pause(&self) {
         self.signal("-STOP");
     }
 
+    /// Continues a stopped process with SIGCONT.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
+    /// Sends SIGHUP.
     pub fn reload(&self) {
         self.signal("-HUP");
     }
@@ -564,6 +597,7 @@
         signal(self.child.as_ref().unwrap(), which);
     }
 
+    /// Waits for the process to exit.
     pub fn wait_exit(&mut self) -> ExitStatus {
         self.child.take().unwrap().wait().unwrap()
     }
@@ -572,7 +606,7 @@
         self.child.as_mut().is_some_and(|c| c.try_wait().unwrap().is_none())
     }
 
-    /// Lets the running process hold no more descriptors than so many, as its machine does.
+    /// Lowers the running process's limit on open descriptors.
     pub fn limit_descriptors(&self, most: usize) {
         let id = rustix::process::Pid::from_child(self.child.as_ref().unwrap());
         let most = Some(most as u64);
@@ -580,42 +614,43 @@
         rustix::process::prlimit(Some(id), rustix::process::Resource::Nofile, limit).unwrap();
     }
 
-    /// Descriptors that the process holds.
+    /// Returns how many descriptors the process has open.
     pub fn descriptors(&self) -> usize {
         let id = self.child.as_ref().unwrap().id();
         std::fs::read_dir(format!("/proc/{id}/fd")).unwrap().count()
     }
 
-    /// Processor time that the process has used, its threads that have ended included, in steps of 10 ms.
+    /// Returns the processor time that the process has used, including its ended threads, in steps of 10 ms.
     pub fn processor_time(&self) -> Duration {
         const TICK: Duration = Duration::from_millis(10);
         let id = self.child.as_ref().unwrap().id();
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap();
-        // The name, in brackets, may hold anything; the times are the 12th and 13th after it.
+        // The process name, in brackets, may hold any character; the times are the 12th and 13th fields after
+        // it.
         let (_, fields) = stat.rsplit_once(')').unwrap();
         let ticks = fields.split_whitespace().skip(11).take(2).map(|f| f.parse::<u32>().unwrap());
         TICK * ticks.sum::<u32>()
     }
 
-    /// Threads that the process has.
+    /// Returns how many threads the process has.
     pub fn threads(&self) -> usize {
         let id = self.child.as_ref().unwrap().id();
         std::fs::read_dir(format!("/proc/{id}/task")).unwrap().count()
     }
 
-    /// The most memory that the process has held, in kB.
+    /// Returns the peak resident memory of the process, in kB.
     pub fn peak_resident_kb(&self) -> usize {
         let id = self.child.as_ref().unwrap().id();
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap();
-        let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("its memory");
+        let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("the status has VmHWM");
         line.trim().trim_end_matches(" kB").parse().unwrap()
     }
 
-    /// Waits until something is so.
-    pub fn wait_until(&self, what: &str, so: impl Fn() -> bool) {
+    /// Waits until a condition holds. `what` describes it in the failure message.
+    pub fn wait_until(&self, what: &str, condition: impl Fn() -> bool) {
         let until = Instant::now() + TIMEOUT;
-        while !so() {
-            assert!(Instant::now() < until, "waited in vain until {what}: {}", self.log());
+        while !condition() {
+            assert!(Instant::now() < until, "timed out waiting until {what}: {}", self.log());
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -633,14 +668,15 @@
     }
 }
 
-/// A sender whose list names one endpoint, of destination 7.
+/// Starts a sender whose list has one endpoint, of destination 7.
 pub fn start_with_one_endpoint(endpoint: &Peer) -> (Discovery, Node) {
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
     let node = Node::start(&discovery);
     (discovery, node)
 }
 
-/// Hands in one more and waits for it: what the sender would have done before has been done by then.
+/// Hands in a message and waits until it is delivered. By then the sender has done what earlier inputs led
+/// to.
 pub fn wait_until_settled(node: &Node, endpoint: &Peer) {
     assert_eq!(node.hand_in("alert", "settle", 7, 16_000, b"."), 202);
     endpoint.wait_for("settle", 1);
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What a sender owes outlasts its process, damage of its files, and a change of their format.
+//! Accepted messages survive a kill of the process, damage to its files, and a change of their format.
 mod peers;
 use peers::*;
 use sender::records::folder;
@@ -6,6 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
+/// Reads all files below a folder.
 fn files(folder: &Path) -> BTreeMap<PathBuf, Vec<u8>> {
     let mut all = BTreeMap::new();
     for entry in std::fs::read_dir(folder).unwrap().flatten() {
@@ -18,6 +19,7 @@
     all
 }
 
+/// Copies a folder with everything below it.
 fn copy(from: &Path, to: &Path) {
     std::fs::create_dir_all(to).unwrap();
     for entry in std::fs::read_dir(from).unwrap().flatten() {
@@ -30,8 +32,8 @@
     }
 }
 
-/// Takes on so many messages, which wait for a list that names their destination.
-fn taken_on(node: &Node, count: usize) -> BTreeSet<String> {
+/// Hands in messages that stay held, as no list names their destination yet. Returns their ids.
+fn hand_in_held(node: &Node, count: usize) -> BTreeSet<String> {
     let ids: BTreeSet<String> = (0..count).map(|i| format!("m{i}")).collect();
     for id in &ids {
         assert_eq!(node.hand_in("order", id, 7, 16_000, &[7; 300]), 202);
@@ -40,17 +42,17 @@
 }
 
 #[test]
-fn a_bit_that_flips_costs_one_message_and_is_told_and_set_aside() {
+fn flipped_bit_loses_one_message_and_is_logged_and_set_aside() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([]));
     let mut node =
         Node::start_with(&discovery, json!([]), |c| c["settings"]["Limits"]["MaxOpen"] = json!(400));
-    let ids = taken_on(&node, 300);
+    let ids = hand_in_held(&node, 300);
     node.kill();
     let segments = node.segments();
     let path = &segments[0];
     let mut bytes = std::fs::read(path).unwrap();
-    // A tenth into the first segment, which is far from the end of all.
+    // A tenth into the first segment, far from the journal's end.
     let at = bytes.len() / 10;
     bytes[at] ^= 0x10;
     std::fs::write(path, bytes).unwrap();
@@ -62,17 +64,17 @@
     };
     node.wait_until("all but one are delivered", || delivered().len() >= ids.len() - 1);
     assert!(delivered().is_subset(&ids));
-    assert_eq!(endpoint.seen().len(), ids.len() - 1, "none twice, and one is lost");
+    assert_eq!(endpoint.seen().len(), ids.len() - 1, "no message is sent twice, and one is lost");
     assert!(node.log().contains("DAMAGED"), "{}", node.log());
     let aside = files(&node.state()).into_keys().filter(|p| p.to_string_lossy().contains("damaged-seg-"));
     assert_eq!(aside.count(), 1);
 }
 
 #[test]
-fn another_senders_folder_and_another_format_are_refused_and_left_as_they_are() {
+fn refuses_folder_of_another_sender_or_format_without_changing_it() {
     let discovery = Discovery::new(json!([]));
     let mut node = Node::start(&discovery);
-    taken_on(&node, 3);
+    hand_in_held(&node, 3);
     node.kill();
     let before = files(&node.state());
     node.config["name"] = json!("n1");
@@ -91,17 +93,18 @@
     assert!(!status.success());
     assert!(log.contains("is of format 9") && log.contains("use the program that wrote it"), "{log}");
     assert_eq!(files(&node.state()), before);
-    // As it was it serves.
+    // With the original manifest the sender serves again.
     std::fs::write(&manifest, text).unwrap();
     node.restart();
 }
 
-/// Folders that each version has left behind when it was killed, with messages whose time is long over.
+/// The samples are folders that each version has left when it was killed, with messages whose deadlines have
+/// passed.
 #[test]
-fn folders_of_every_version_are_taken_up() {
+fn resumes_from_folders_of_every_version() {
     let samples = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/samples");
     let (file, log) = (samples.join("0-journal-file"), samples.join("1-log"));
-    // The last three are those of a change from one to the other that was cut short.
+    // The last three are a conversion from the file to the log that was interrupted at different points.
     for version in ["file", "log", "begun", "moved away", "not removed"] {
         let discovery = Discovery::new(json!([]));
         let mut node = Node::start(&discovery);
@@ -123,7 +126,7 @@
             }
         }
         node.restart();
-        // Two were never sent, of one the call was out; one was delivered, and is owed nothing.
+        // Two messages were never sent, one was in flight, and one was delivered, which needs no notice.
         let outcomes = || {
             let notices = discovery.notices();
             let pair = |n: &serde_json::Value| {
@@ -135,25 +138,25 @@
         let expected = [("held-1", "handed_back"), ("held-2", "handed_back"), ("out-1", "given_up")];
         let expected = expected.map(|(id, outcome)| (id.to_string(), outcome.to_string()));
         assert_eq!(outcomes(), BTreeMap::from(expected), "{version}");
-        // And it goes on in its own format.
+        // From here on the sender uses the current format.
         assert_eq!(node.hand_in("order", "later", 7, 16_000, b"x"), 202);
         node.kill();
         assert!(!node.segments().is_empty());
         assert!(["journal.next", "journal.old"].iter().all(|name| !node.state().join(name).exists()));
         node.restart();
-        assert_eq!(node.hand_in("order", "later", 7, 16_000, b"x"), 202, "held still");
-        assert_eq!(outcomes().len(), 3, "{version}: none again");
+        assert_eq!(node.hand_in("order", "later", 7, 16_000, b"x"), 202, "still held");
+        assert_eq!(outcomes().len(), 3, "{version}: no notice is repeated");
     }
 }
 
-/// With a sync before each answer and call all works as without.
+/// Group and interval syncs change nothing about what survives a kill.
 #[test]
-fn with_syncs_in_groups_and_by_the_clock_messages_outlast_kills() {
+fn messages_survive_kill_with_group_and_interval_syncs() {
     for store in [json!({"sync": "group"}), json!({"sync": "interval", "interval_ms": 20})] {
         let endpoint = Peer::new(|_| ok());
         let discovery = Discovery::new(json!([]));
         let mut node = Node::start_with(&discovery, json!([]), |c| c["store"] = store.clone());
-        let ids = taken_on(&node, 20);
+        let ids = hand_in_held(&node, 20);
         node.kill();
         discovery.set(json!([ready("e-1", endpoint.address, 7)]));
         node.restart();
@@ -165,16 +168,16 @@
         node.terminate();
         assert!(node.wait_exit().success());
         node.restart();
-        assert_eq!(endpoint.seen().len(), ids.len() + 1, "none is sent again");
+        assert_eq!(endpoint.seen().len(), ids.len() + 1, "no message is sent again");
     }
 }
 
 #[test]
-fn what_is_wrong_in_the_configuration_of_the_store_is_named() {
+fn names_invalid_member_of_store_configuration() {
     let discovery = Discovery::new(json!([]));
     let mut node = Node::start(&discovery);
     node.kill();
-    for (store, told) in [
+    for (store, message) in [
         (json!({"sync": "often"}), r#"store.sync: "often" is none of none, group, interval"#),
         (json!({"sync": "interval"}), "store.interval_ms: has to be from 1 to 60000"),
         (json!({"sync": "group", "interval_ms": 5}), "store.interval_ms: goes with sync = interval only"),
@@ -182,19 +185,19 @@
     ] {
         node.config["store"] = store;
         let (status, log) = node.start_and_expect_exit();
-        assert!(!status.success() && log.contains(told), "{log}");
+        assert!(!status.success() && log.contains(message), "{log}");
     }
 }
 
-/// A disk that is full is told, and service goes on by itself once there is room again.
+/// A failing disk makes the sender unhealthy, and it recovers by itself once writing works again.
 #[test]
-fn a_journal_that_cannot_be_written_is_unhealthy_until_it_can_be() {
+fn unwritable_journal_is_unhealthy_until_it_recovers() {
     let control = free_address().to_string();
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
     let mut node = Node::start_with(&discovery, json!([]), |c| {
         c["control"] = json!(control);
-        // Segments of 12 KB: a few messages begin a new one.
+        // Segments of 12 KB, so that a few messages start a new one.
         c["limits"]["disk_mb"] = json!(0.2);
     });
     assert_eq!(node.control("GET /healthcheck"), 200);
@@ -203,31 +206,32 @@
         endpoint.wait_for(id, 1);
     }
     let journal = node.state().join("journal");
-    // A folder that is gone fails the next segment as a full disk does.
+    // Without its folder a new segment can't be created, as on a full disk.
     let away = node.state().join("away");
     std::fs::rename(&journal, &away).unwrap();
     let refused =
         (0..1_000).find(|number| node.hand_in("alert", &format!("m{number}"), 7, 16_000, &[1; 3_000]) == 503);
-    let refused = format!("m{}", refused.expect("one is refused"));
+    let refused = format!("m{}", refused.expect("a message is refused"));
     assert_eq!(node.control("GET /healthcheck"), 503);
     assert!(node.log().contains("cannot write the journal"), "{}", node.log());
     std::fs::rename(&away, &journal).unwrap();
-    node.wait_until("it is healthy again", || node.control("GET /healthcheck") == 200);
+    node.wait_until("the sender is healthy again", || node.control("GET /healthcheck") == 200);
     assert_eq!(node.hand_in("alert", "later", 7, 16_000, b"x"), 202);
     endpoint.wait_for("later", 1);
     node.terminate();
     assert!(node.wait_exit().success());
     node.restart();
-    // What was refused is not sent by the next process, and what was delivered is not sent again.
+    // The next process sends neither the refused message nor the delivered ones.
     assert!(!endpoint.seen().iter().any(|r| r.id() == refused));
     let seen: Vec<String> = endpoint.seen().iter().map(|r| r.id().to_string()).collect();
     let once: BTreeSet<&String> = seen.iter().collect();
     assert_eq!(once.len(), seen.len(), "{seen:?}, refused {refused}: {}", node.log());
 }
 
-/// What was learned is taken up after a kill, but for a told wait, which a restart ends; what does not suit is left.
+/// After a kill the sender continues from the snapshot, except for a Retry-After, which a restart ends. A
+/// snapshot that is damaged or of other settings is ignored.
 #[test]
-fn what_was_learned_outlasts_a_kill_where_it_suits_and_a_told_wait_does_not() {
+fn snapshot_survives_kill_unless_unusable_and_retry_after_does_not() {
     let calls = std::sync::atomic::AtomicUsize::new(0);
     let endpoint = Peer::new(move |_| match calls.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
         1 => answer("429 Too Many Requests", "Retry-After: 3000\r\n", ""),
@@ -241,41 +245,41 @@
     assert_eq!(node.hand_in("alert", "first", 7, 16_000, b"x"), 202);
     endpoint.wait_for("first", 1);
     let learned = node.state().join("learned");
-    // Told to wait for most of an hour; only a process that has forgotten that calls again.
+    // The endpoint asks to wait for 50 minutes, so only a process that has dropped the wait calls again.
     assert_eq!(node.hand_in("alert", "waits", 7, 16_000, b"x"), 202);
     endpoint.wait_for("waits", 1);
     let written = || std::fs::metadata(&learned).and_then(|m| m.modified()).ok();
     let before = written();
-    node.wait_until("a snapshot since", || written() > before);
+    node.wait_until("a new snapshot is written", || written() > before);
     node.kill();
     node.restart();
     endpoint.wait_for("waits", 2);
     assert!(node.log().contains("going on with what was learned before"), "{}", node.log());
     node.kill();
     let whole = std::fs::read(&learned).unwrap();
-    let left = |node: &mut Node, why: &str| {
+    let assert_ignored = |node: &mut Node, why: &str| {
         node.restart();
         let log = node.log();
-        let told = log.lines().rev().find(|l| l.contains("learned before")).unwrap_or_default();
-        assert!(told.contains("is left") && told.contains(why), "{why}: {log}");
+        let line = log.lines().rev().find(|l| l.contains("learned before")).unwrap_or_default();
+        assert!(line.contains("is left") && line.contains(why), "{why}: {log}");
         node.kill();
     };
     let mut bytes = whole.clone();
     bytes[whole.len() / 2] ^= 1;
     std::fs::write(&learned, &bytes).unwrap();
-    left(&mut node, "damaged");
+    assert_ignored(&mut node, "damaged");
     std::fs::write(&learned, &whole).unwrap();
     node.config["settings"]["FamilyInfo"]["CallsOut"] = json!(4);
-    left(&mut node, "other settings");
+    assert_ignored(&mut node, "other settings");
 }
 
-/// As `cairnpulley state repair` makes it of a damaged one.
+/// Repairs a damaged folder as `cairnpulley state repair` does.
 #[test]
-fn a_sender_goes_on_from_a_folder_that_was_repaired() {
+fn resumes_from_repaired_folder() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([]));
     let mut node = Node::start(&discovery);
-    let ids = taken_on(&node, 20);
+    let ids = hand_in_held(&node, 20);
     node.kill();
     let path = node.segments().remove(0);
     let mut bytes = std::fs::read(&path).unwrap();
--- a/tests/sender.rs
+++ b/tests/sender.rs
@@ -1,4 +1,4 @@
-//! The real sender against small peers over loopback: every verdict waits for an event, none for a clock.
+//! The real sender against stub servers over loopback. Tests wait for events, not for fixed times.
 mod peers;
 use base64::Engine;
 use peers::*;
@@ -10,14 +10,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The first call gets `first`, all others 200.
+/// An endpoint that answers its first call with `first` and all others with 200.
 fn first_then_ok(first: impl Fn() -> Reply + Send + Sync + 'static) -> Peer {
     let calls = AtomicUsize::new(0);
     Peer::new(move |_| if calls.fetch_add(1, Ordering::SeqCst) == 0 { first() } else { ok() })
 }
 
-/// A message is over once it was called for, and the next process owes nothing for it.
-fn one_call_ends_it_for_good(endpoint: &Peer, class: &str) {
+/// Checks that a message ends with its first call, and that the next process neither sends it nor reports it.
+fn assert_ended_by_first_call(endpoint: &Peer, class: &str) {
     let (discovery, mut node) = start_with_one_endpoint(endpoint);
     assert_eq!(node.hand_in(class, "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn takes_on_and_delivers_unchanged_over_one_kept_connection() {
+fn delivers_unchanged_over_one_kept_connection() {
     let endpoint = Peer::new(|_| ok());
     let (discovery, node) = start_with_one_endpoint(&endpoint);
     let body: Vec<u8> = (0..=255).collect();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn names_beyond_ascii_are_names_as_any_other() {
+fn accepts_names_beyond_ascii() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([instance("e-é", endpoint.address, 7, "Fähre", "Ready")]));
     let node = Node::start_with(&discovery, json!([]), |c| {
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn a_connection_stands_idle_no_longer_than_its_endpoint_was_seen_to_keep_it() {
-    // It forgets a connection that has stood longer, and resets what then comes on it.
+fn keeps_idle_connection_no_longer_than_endpoint_does() {
+    // The endpoint resets a request on a connection that has been idle for longer than this.
     const KEPT: Duration = Duration::from_millis(150);
     let used = Mutex::new(HashMap::new());
     let endpoint = Peer::new(move |r| match used.lock().unwrap().insert(r.connection, r.at) {
@@ -88,7 +88,7 @@
     assert_eq!(node.hand_in("alert", "lost", 7, 16_000, b"x"), 202);
     let lost = endpoint.wait_for("lost", 2);
     assert_eq!(lost[0].connection, first.connection);
-    // As long once more: an unsafe message must not meet the same end.
+    // After the same idle time again: an unsafe message must not be lost in the same way.
     std::thread::sleep(lost[0].at - first.at);
     assert_eq!(node.hand_in("order", "unsafe", 7, 16_000, b"x"), 202);
     assert_ne!(endpoint.wait_for("unsafe", 1)[0].connection, lost[1].connection);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn what_never_ran_goes_again_even_if_unsafe() {
+fn retries_unsafe_message_that_never_ran() {
     let rows: [ReplyCase; 4] = [
         ("503", || answer("503 Full", "", "")),
         ("line busy", || answer("503 Busy", "X-Line-Busy: 1\r\n", "")),
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn what_may_have_run_goes_again_only_if_keyed() {
+fn retries_only_keyed_message_that_may_have_run() {
     let rows: [ReplyCase; 3] = [
         ("500", || answer("500 Error", "", "")),
         ("unknown", || answer("418 Teapot", "", "")),
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn an_answer_that_cannot_be_read_delivers_its_one_message_if_its_first_line_says_200() {
+fn unreadable_answer_delivers_one_message_if_status_line_says_200() {
     let broken: [ReplyCase; 3] = [
         ("length", || Reply::Bytes("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n".into())),
         ("header", || Reply::Bytes("HTTP/1.1 200 OK\r\nno header at all\r\n\r\n".into())),
@@ -150,7 +150,11 @@
         assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
         endpoint.wait_for("m", 1);
         wait_until_settled(&node, &endpoint);
-        assert_eq!(endpoint.wait_for("m", 1).len(), 1, "{row}: delivered, so not sent again");
+        assert_eq!(
+            endpoint.wait_for("m", 1).len(),
+            1,
+            "{row}: the message was delivered and must not be sent again"
+        );
         assert!(discovery.notices().is_empty(), "{row}");
     }
     let unreadable: [ReplyCase; 3] = [
@@ -167,7 +171,7 @@
 }
 
 #[test]
-fn a_message_that_its_endpoint_cannot_read_is_given_up_after_one_call() {
+fn gives_up_malformed_message_after_one_call() {
     let endpoint = Peer::new(|r| if r.id() == "m" { answer("400 Bad", "", "") } else { ok() });
     let (discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
@@ -177,13 +181,12 @@
 }
 
 #[test]
-fn a_withdrawn_message_is_over_without_a_notice() {
-    one_call_ends_it_for_good(&first_then_ok(|| answer("410 Gone", "", "")), "alert");
+fn withdrawn_message_ends_without_notice() {
+    assert_ended_by_first_call(&first_then_ok(|| answer("410 Gone", "", "")), "alert");
 }
 
 #[test]
-fn silence_ends_an_unsafe_message_at_its_time_and_closes_the_connection_of_a_keyed_one_before_it_goes_again()
-{
+fn unanswered_call_ends_unsafe_message_at_deadline_and_is_closed_before_keyed_retry() {
     let endpoint = first_then_ok(|| Reply::Hang);
     let (discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "unsafe", 7, 600, b"x"), 202);
@@ -194,11 +197,11 @@
     assert_eq!(node.hand_in("alert", "keyed", 7, 16_000, b"x"), 202);
     let calls = endpoint.wait_for("keyed", 2);
     assert_ne!(calls[0].connection, calls[1].connection);
-    node.wait_until("the first connection is closed", || endpoint.has_ended(calls[0].connection));
+    node.wait_until("the first connection is closed", || endpoint.is_closed(calls[0].connection));
 }
 
 #[test]
-fn a_refused_connection_never_ran_so_the_message_is_handed_back() {
+fn hands_back_message_after_refused_connections() {
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let discovery = Discovery::new(json!([ready("e-1", closed, 7)]));
     let node = Node::start(&discovery);
@@ -207,7 +210,7 @@
 }
 
 #[test]
-fn a_told_wait_binds_every_message_of_the_destination() {
+fn retry_after_binds_every_message_of_destination() {
     let endpoint = first_then_ok(|| answer("429 Wait", "Retry-After: 1.2\r\n", ""));
     let (_discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("alert", "told", 7, 16_000, b"x"), 202);
@@ -218,9 +221,9 @@
     assert!(again.min(other) - told >= Duration::from_millis(1_200));
 }
 
-/// Messages held during a wait leave in one call; each of them ends as the answer says.
+/// Messages held during a Retry-After are sent in one call, and each ends as the answer says for it.
 #[test]
-fn a_batch_ends_each_message_by_its_own_state() {
+fn batch_ends_each_message_by_its_own_state() {
     let calls = Arc::new(AtomicUsize::new(0));
     let endpoint = Peer::new(move |request| {
         if calls.fetch_add(1, Ordering::SeqCst) == 0 {
@@ -255,7 +258,7 @@
     };
     let seen = endpoint.wait("a batch", |s| !batches(s).is_empty());
     let batch = batches(&seen).remove(0);
-    let failed = batch.iter().find(|m| m["id"] == "failed.2").expect("all that were held are in one call");
+    let failed = batch.iter().find(|m| m["id"] == "failed.2").expect("all held messages are in one call");
     let body = base64::engine::general_purpose::STANDARD.encode("failed.2");
     assert_eq!((&failed["body"], &failed["key"]), (&json!(body), &json!("key-failed.2")));
     assert_eq!(discovery.wait_for_notice("failed.2")["outcome"], "given_up");
@@ -263,8 +266,8 @@
         let inside = batches(seen).iter().flatten().filter(|m| m["id"] == id).count();
         inside + seen.iter().filter(|r| r.id() == id).count()
     };
-    let seen =
-        endpoint.wait("the two that never ran", |s| count(s, "busy.4") > 1 && count(s, "used_up.5") > 1);
+    let seen = endpoint
+        .wait("a repeat of the two that never ran", |s| count(s, "busy.4") > 1 && count(s, "used_up.5") > 1);
     for id in ["done.1", "failed.2", "void.3"] {
         assert_eq!(count(&seen, id), 1, "{id}");
     }
@@ -272,7 +275,7 @@
 }
 
 #[test]
-fn what_is_too_much_for_one_body_goes_in_parts() {
+fn splits_batch_that_exceeds_one_body() {
     let endpoint = first_then_ok(|| answer("429 Wait", "Retry-After: 1.5\r\n", ""));
     endpoint.add_script(|request| {
         let many = request.start_line.contains(":batch");
@@ -300,7 +303,7 @@
 }
 
 #[test]
-fn the_same_message_handed_in_again_while_it_is_held_is_taken_on_once() {
+fn accepts_held_message_once_when_handed_in_again() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([]));
     let node = Node::start(&discovery);
@@ -314,7 +317,7 @@
 }
 
 #[test]
-fn past_the_bound_what_waited_is_handed_back_with_a_time_and_the_door_refuses() {
+fn hands_back_and_refuses_with_retry_time_over_bound() {
     let endpoint = Peer::new(|_| Reply::Hang);
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
     let node = Node::start_with(&discovery, json!([]), |c| {
@@ -330,7 +333,7 @@
         }
         assert_eq!(status, 202);
     }
-    let after: f64 = refused.expect("a bound on what is held")["retry-after"].parse().unwrap();
+    let after: f64 = refused.expect("the number of held messages is bounded")["retry-after"].parse().unwrap();
     assert!(after > 0.0);
     let seen =
         discovery.peer.wait("a message handed back", |s| s.iter().any(|r| r.start_line.contains("/reports")));
@@ -341,7 +344,7 @@
 }
 
 #[test]
-fn a_kill_before_any_attempt_leaves_the_message_to_the_next_process() {
+fn next_process_sends_message_killed_before_any_attempt() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([]));
     let mut node = Node::start(&discovery);
@@ -355,7 +358,7 @@
 }
 
 #[test]
-fn a_kill_during_an_attempt_ends_an_unsafe_message_and_repeats_a_keyed_one_under_its_key() {
+fn kill_during_attempt_ends_unsafe_and_repeats_keyed_message() {
     let endpoint = first_then_ok(|| Reply::Hang);
     let (discovery, mut node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "unsafe", 7, 16_000, b"x"), 202);
@@ -378,7 +381,7 @@
 }
 
 #[test]
-fn the_window_of_a_key_counts_from_the_first_attempt_over_a_restart() {
+fn dedup_window_counts_from_first_attempt_over_restart() {
     let endpoint = first_then_ok(|| Reply::Hang);
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
     let mut node = Node::start_with(&discovery, json!([]), |c| {
@@ -395,13 +398,12 @@
 }
 
 #[test]
-fn a_kill_after_the_delivery_does_not_repeat_it() {
-    one_call_ends_it_for_good(&Peer::new(|_| ok()), "order");
+fn kill_after_delivery_does_not_repeat_it() {
+    assert_ended_by_first_call(&Peer::new(|_| ok()), "order");
 }
 
 #[test]
-fn what_ran_out_of_time_while_the_sender_was_down_ends_at_once_and_a_notice_is_repeated_until_it_is_answered()
-{
+fn expired_message_ends_at_restart_and_notice_is_repeated_until_acknowledged() {
     let discovery = Discovery::new(json!([]));
     let mut node = Node::start(&discovery);
     assert_eq!(node.hand_in("order", "m", 7, 300, b"x"), 202);
@@ -410,7 +412,8 @@
     node.restart();
     assert_eq!(discovery.wait_for_notice("m")["outcome"], "handed_back");
 
-    // This platform takes notices badly: closed once, then an error, then as it should be.
+    // This platform closes the first post of a notice, answers the second with an error, and acknowledges the
+    // third.
     let calls = AtomicUsize::new(0);
     let platform =
         Peer::new(move |r| match (r.start_line.starts_with("POST"), calls.load(Ordering::SeqCst)) {
@@ -428,12 +431,12 @@
     let node = Node::start(&discovery);
     assert_eq!(node.hand_in("order", "n", 7, 300, b"x"), 202);
     let posts = |s: &[Request]| s.iter().filter(|r| r.start_line.starts_with("POST")).count();
-    discovery.peer.wait("the notice three times", |s| posts(s) == 3);
+    discovery.peer.wait("three posts of the notice", |s| posts(s) == 3);
     assert!(discovery.notices().iter().all(|n| n["message"] == "n"));
 }
 
 #[test]
-fn a_torn_tail_is_cut_and_what_is_before_it_lives() {
+fn cuts_torn_tail_and_keeps_records_before_it() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([]));
     let mut node = Node::start(&discovery);
@@ -450,10 +453,10 @@
     endpoint.wait_for("whole", 1);
     wait_until_settled(&node, &endpoint);
     assert!(!endpoint.seen().iter().any(|r| r.id() == "torn"));
-    // What is written after the cut can be read again.
+    // Records written after the cut are readable.
     discovery.set(json!([]));
     let seen = discovery.peer.seen().len();
-    discovery.peer.wait("the change to be told", |s| s.len() >= seen + 3);
+    discovery.peer.wait("discovery to have answered with the change", |s| s.len() >= seen + 3);
     assert_eq!(node.hand_in("order", "later", 7, 16_000, b"x"), 202);
     node.kill();
     discovery.set(json!([ready("e-1", endpoint.address, 7)]));
@@ -463,19 +466,19 @@
 }
 
 #[test]
-fn the_journal_is_rewritten_within_its_limit_and_refuses_what_does_not_fit() {
+fn journal_stays_within_limit_and_refuses_what_does_not_fit() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
     let limit = 400_000;
     let mut node = Node::start_with(&discovery, json!([]), |c| c["limits"]["disk_mb"] = json!(0.4));
-    // Far more than fits, were nothing dropped.
+    // Far more than fits, unless the records of delivered messages are dropped.
     for i in 0..60 {
         let id = format!("m{i}");
         assert_eq!(node.hand_in("alert", &id, 7, 16_000, &[1; 20_000]), 202);
         endpoint.wait_for(&id, 1);
         assert!(node.disk_usage() <= limit, "{}", node.disk_usage());
     }
-    // And nothing that lives is dropped: these wait for a list that names their destination.
+    // No record of a pending message is dropped: these wait for a list that names their destination.
     let mut held = Vec::new();
     loop {
         let id = format!("held{}", held.len());
@@ -498,7 +501,7 @@
 }
 
 #[test]
-fn sigterm_finishes_calls_answers_clients_and_leaves_the_rest_to_the_next_process() {
+fn sigterm_finishes_calls_and_leaves_held_messages_to_next_process() {
     let (release, gate) = std::sync::mpsc::channel::<()>();
     let gate = std::sync::Mutex::new(gate);
     let arrived = Arc::new(AtomicUsize::new(0));
@@ -511,9 +514,9 @@
     let (discovery, mut node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "out", 7, 16_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "held", 9, 16_000, b"x"), 202);
-    node.wait_until("the call is out", || arrived.load(Ordering::SeqCst) == 1);
+    node.wait_until("the call is in flight", || arrived.load(Ordering::SeqCst) == 1);
     node.terminate();
-    // New connections go on coming for a while and are served.
+    // New connections are still accepted and served for a while.
     assert_eq!(node.hand_in("order", "late", 9, 16_000, b"x"), 202);
     release.send(()).unwrap();
     endpoint.wait_for("out", 1);
@@ -529,7 +532,7 @@
 }
 
 #[test]
-fn sigterm_does_not_wait_for_a_call_that_hangs_and_the_next_process_goes_on() {
+fn sigterm_does_not_wait_for_hanging_call() {
     let endpoint = first_then_ok(|| Reply::Hang);
     let (discovery, mut node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "hangs", 7, 16_000, b"x"), 202);
@@ -541,11 +544,12 @@
 }
 
 #[test]
-fn clients_that_stand_idle_make_place_for_others() {
+fn idle_client_connections_make_room_for_others() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
     let node = Node::start_with(&discovery, json!([]), |c| c["limits"]["sockets"] = json!(64));
-    // 40 are left to share: 20 for clients, of which the last ones come back with their answer.
+    // 40 descriptors are left to share, of which 20 are for clients. When few of those are free, connections
+    // are closed with their answer.
     let kept: Vec<TcpStream> = (0..17)
         .map(|_| {
             let mut client = TcpStream::connect(node.address).unwrap();
@@ -555,11 +559,11 @@
             client
         })
         .collect();
-    // The others are taken by what sends nothing. Those that stand idle stay open far longer than this waits
-    // unless they are needed.
+    // Connections that send nothing take the other places. Unless their place is needed, idle connections
+    // stay open far longer than this test waits.
     let silent = std::cell::RefCell::new(Vec::new());
     kept[0].set_read_timeout(Some(Duration::from_millis(1))).unwrap();
-    node.wait_until("the one that stood longest makes place", || {
+    node.wait_until("the connection that was idle longest is closed", || {
         silent.borrow_mut().push(TcpStream::connect(node.address).unwrap());
         (&kept[0]).read(&mut [0]).is_ok_and(|n| n == 0)
     });
@@ -568,7 +572,7 @@
 }
 
 #[test]
-fn a_crowd_that_finishes_nothing_leaves_room_for_messages_slow_ones_included() {
+fn unfinished_requests_leave_room_for_messages_even_slow_ones() {
     let endpoint = Peer::new(|_| ok());
     let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let mut slow = TcpStream::connect(node.address).unwrap();
@@ -576,8 +580,8 @@
     let slowly = message("order", "slow", 7, 16_000, b"x");
     let mut pieces = slowly.chunks(slowly.len().div_ceil(15));
     let mut crowd = Vec::new();
-    // Three times as many as there are places, and between them messages on connections of their own: each
-    // answer also tells that what came before it has been seen.
+    // Three times as many connections as there are places, with messages on connections of their own in
+    // between. Each reply also shows that the connections before it have been accepted.
     for round in 0..15 {
         for i in 0..24 {
             let mut stream = TcpStream::connect(node.address).unwrap();
@@ -590,7 +594,7 @@
         pieces.next().into_iter().for_each(|piece| slow.write_all(piece).unwrap());
         let (status, headers) = node.hand_in_full("alert", &format!("b{round}"), 7, 16_000, b"x");
         assert_eq!(status, 202);
-        // 116 places: once they are scarce this one comes back with its answer.
+        // There are 116 places: once they are scarce, this connection is closed with its answer.
         let closes = headers.get("connection").is_some_and(|c| c == "close");
         assert!(if closes { round >= 3 } else { round <= 5 }, "round {round}");
     }
@@ -600,7 +604,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_in_the_middle_harms_nothing() {
+fn client_that_disconnects_mid_request_does_no_harm() {
     let endpoint = Peer::new(|_| ok());
     let (discovery, node) = start_with_one_endpoint(&endpoint);
     for part in
@@ -615,25 +619,25 @@
 }
 
 #[test]
-fn an_idle_sender_ends_after_sigterm() {
+fn idle_sender_exits_after_sigterm() {
     let discovery = Discovery::new(json!([]));
     let mut node = Node::start(&discovery);
-    // A client's idle connection must not hold it up.
+    // A client's idle connection must not delay the exit.
     let _idle = TcpStream::connect(node.address).unwrap();
     node.terminate();
     assert!(node.wait_exit().success());
 }
 
-/// An address where connections hang: its backlog is full until `open` takes what waits.
-struct Slow {
+/// A listener to which connecting hangs: its backlog is full until `open` accepts the waiting connections.
+struct FullListener {
     runtime: tokio::runtime::Runtime,
     listener: tokio::net::TcpListener,
     address: SocketAddr,
     fill: Vec<TcpStream>,
 }
 
-impl Slow {
-    fn new() -> Slow {
+impl FullListener {
+    fn new() -> FullListener {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let listener = runtime.block_on(async {
             let socket = tokio::net::TcpSocket::new_v4().unwrap();
@@ -644,14 +648,14 @@
         let mut fill = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
             fill.push(stream);
-            assert!(fill.len() < 20, "the backlog does not fill");
+            assert!(fill.len() < 20, "the backlog does not fill up");
         }
-        Slow { runtime, listener, address, fill }
+        FullListener { runtime, listener, address, fill }
     }
 
-    /// Serves from now on, and remembers what is written.
+    /// Accepts the waiting connections, and serves as a peer from now on.
     fn open(self) -> Peer {
-        let Slow { runtime, listener, fill, .. } = self;
+        let FullListener { runtime, listener, fill, .. } = self;
         for _ in &fill {
             runtime.block_on(listener.accept()).unwrap();
         }
@@ -664,8 +668,8 @@
 }
 
 #[test]
-fn a_drain_met_while_connecting_stops_the_call() {
-    let (slow, other) = (Slow::new(), Peer::new(|_| ok()));
+fn drain_while_connecting_stops_call() {
+    let (slow, other) = (FullListener::new(), Peer::new(|_| ok()));
     let discovery = Discovery::new(json!([ready("e-1", slow.address, 7)]));
     let patient = |c: &mut Value| c["settings"]["Limits"]["DialTimeoutNs"] = json!(20_000_000_000u64);
     let node = Node::start_with(&discovery, json!([]), patient);
@@ -673,28 +677,30 @@
     assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
     discovery
         .set(json!([instance("e-1", address, 7, "plain", "Terminating"), ready("e-2", other.address, 7)]));
-    // The change has been told once the sender watches on from it; this message can only go to the new one.
-    discovery.peer.wait("the watch to go on", |s| s.iter().any(|r| r.start_line.contains("index=2")));
+    // The sender has the change once its watch asks for the next one. From then on the message can only go to
+    // e-2.
+    discovery.peer.wait("the watch to continue", |s| s.iter().any(|r| r.start_line.contains("index=2")));
     let slow = slow.open();
-    node.wait_until("the connection comes up", || slow.connections() > 0);
+    node.wait_until("the connection is made", || slow.connections() > 0);
     other.wait_for("m", 1);
     assert!(slow.seen().is_empty(), "{:?}", slow.seen());
 }
 
 #[test]
-fn a_wait_met_while_connecting_holds_the_call() {
-    let (slow, other) = (Slow::new(), first_then_ok(|| answer("429 Wait", "Retry-After: 3\r\n", "")));
+fn retry_after_while_connecting_delays_call() {
+    let (slow, other) = (FullListener::new(), first_then_ok(|| answer("429 Wait", "Retry-After: 3\r\n", "")));
     let discovery = Discovery::new(json!([ready("e-1", slow.address, 7)]));
     let patient = |c: &mut Value| c["settings"]["Limits"]["DialTimeoutNs"] = json!(20_000_000_000u64);
     let node = Node::start_with(&discovery, json!([]), patient);
     assert_eq!(node.hand_in("order", "connecting", 7, 16_000, b"x"), 202);
-    // Only now, so that the first message can't choose it; the next one finds no call out there.
+    // Listed only now, so that the first message can't go to e-2. The next one does, as no call is in flight
+    // there.
     discovery.set(json!([ready("e-1", slow.address, 7), ready("e-2", other.address, 7)]));
-    discovery.peer.wait("the watch to go on", |s| s.iter().any(|r| r.start_line.contains("index=2")));
+    discovery.peer.wait("the watch to continue", |s| s.iter().any(|r| r.start_line.contains("index=2")));
     assert_eq!(node.hand_in("order", "told", 7, 16_000, b"x"), 202);
     let told = other.wait_for("told", 1).remove(0).at;
     let slow = slow.open();
-    node.wait_until("the connection comes up", || slow.connections() > 0);
+    node.wait_until("the connection is made", || slow.connections() > 0);
     let calls = |id: &str| {
         let all = slow.seen().into_iter().chain(other.seen());
         all.filter(|r| r.id() == id).map(|r| r.at).collect::<Vec<_>>()
@@ -704,7 +710,7 @@
 }
 
 #[test]
-fn a_silent_discovery_leaves_the_old_list_in_force() {
+fn silent_discovery_leaves_old_list_in_force() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([]));
     discovery.silence();
@@ -712,7 +718,7 @@
     let mut node = Node::start_with(&discovery, known, |_| {});
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
-    // Another destination's endpoint is none of this one's, however few there are.
+    // A message is not sent to another destination's endpoint, even if there is no other endpoint.
     assert_eq!(node.hand_in("alert", "elsewhere", 8, 500, b"x"), 202);
     assert_eq!(discovery.wait_for_notice("elsewhere")["outcome"], "handed_back");
     assert_eq!(endpoint.seen().len(), 1);
@@ -720,18 +726,18 @@
 }
 
 #[test]
-fn sighup_moves_the_list_and_the_notices_to_the_address_in_the_file() {
+fn sighup_moves_watch_and_notices_to_address_in_file() {
     let endpoint = Peer::new(|_| ok());
     let (old, new) = (Discovery::new(json!([])), Discovery::new(json!([ready("e-1", endpoint.address, 7)])));
     let mut node = Node::start(&old);
-    // A file that can't be read changes nothing.
+    // A file that can't be parsed changes nothing.
     std::fs::write(node.folder.join("config.json"), "{").unwrap();
     node.reload();
     node.wait_until("the reload has failed", || node.log().contains("cannot reload"));
     assert!(node.is_running());
     node.config["discovery"] = json!(new.peer.address.to_string());
     std::fs::write(node.folder.join("config.json"), node.config.to_string()).unwrap();
-    // A watch at the old address that is never answered must not hold it up.
+    // A watch at the old address that is never answered must not delay the move.
     old.silence();
     node.reload();
     assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
@@ -743,33 +749,38 @@
 }
 
 #[test]
-fn strangers_that_send_nothing_whole_are_closed_or_told_in_time() {
+fn incomplete_requests_are_closed_or_answered_in_time() {
     let endpoint = Peer::new(|_| ok());
     let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let head = "POST /alert HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\nX-Qos: alert\r\nX-Customer: acme\r\n\
                 X-Expires-In-Ms: 9000\r\nX-Consignee: dest=7\r\nIdempotency-Key: k\r\n";
     let part_of_a_body = format!("{head}Content-Length: 9\r\n\r\nx");
-    let mut strangers: Vec<TcpStream> = ["", "PO", head, &part_of_a_body]
+    let mut clients: Vec<TcpStream> = ["", "PO", head, &part_of_a_body]
         .iter()
         .map(|part| {
-            let mut stranger = TcpStream::connect(node.address).unwrap();
-            stranger.write_all(part.as_bytes()).unwrap();
-            // Far more than the 3 s that are owed, and far less than an idle client's connection may stand.
-            stranger.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-            stranger
+            let mut client = TcpStream::connect(node.address).unwrap();
+            client.write_all(part.as_bytes()).unwrap();
+            // Far more than the 3 s within which they are closed, and far less than the idle timeout of
+            // clients.
+            client.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+            client
         })
         .collect();
-    for stranger in &mut strangers {
-        let mut told = Vec::new();
-        stranger.read_to_end(&mut told).expect("closed in time");
-        assert!(told.is_empty() || told.starts_with(b"HTTP/1.1 4"), "{}", String::from_utf8_lossy(&told));
+    for client in &mut clients {
+        let mut answer = Vec::new();
+        client.read_to_end(&mut answer).expect("closed in time");
+        assert!(
+            answer.is_empty() || answer.starts_with(b"HTTP/1.1 4"),
+            "{}",
+            String::from_utf8_lossy(&answer)
+        );
     }
     wait_until_settled(&node, &endpoint);
-    assert_eq!(endpoint.seen().len(), 1, "nothing of theirs is taken on");
+    assert_eq!(endpoint.seen().len(), 1, "none of the incomplete messages is accepted");
 }
 
 #[test]
-fn what_follows_a_request_with_two_lengths_is_not_read_as_another_one() {
+fn request_with_two_lengths_is_not_read_as_two_requests() {
     let endpoint = Peer::new(|_| ok());
     let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let inner = String::from_utf8(message("alert", "inner", 7, 9_000, b"")).unwrap();
@@ -783,7 +794,7 @@
     stream.read_to_string(&mut all).unwrap();
     assert!(all.starts_with("HTTP/1.1 400 "), "{all}");
     assert_eq!(all.matches("HTTP/1.1 ").count(), 1, "{all}");
-    // With one of the two it is as good as any.
+    // A chunked body on its own is accepted.
     let chunked = String::from_utf8(message("alert", "chunked", 7, 9_000, b"")).unwrap();
     let chunked =
         chunked.replace("Content-Length: 0\r\n", "Transfer-Encoding: chunked\r\n") + "1\r\nx\r\n0\r\n\r\n";
@@ -794,7 +805,7 @@
 }
 
 #[test]
-fn malformed_input_is_answered_and_harms_nothing() {
+fn malformed_requests_are_answered_and_do_no_harm() {
     let endpoint = Peer::new(|_| ok());
     let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let full = [
@@ -865,7 +876,7 @@
 }
 
 #[test]
-fn asks_discovery_for_what_changed_since_the_list_it_starts_with_and_goes_on_over_the_same_connection() {
+fn asks_discovery_for_changes_since_known_list_over_one_connection() {
     let endpoint = Peer::new(|_| ok());
     let known = json!([ready("e-1", endpoint.address, 7)]);
     let discovery = Discovery::new(known.clone());
@@ -882,36 +893,36 @@
 }
 
 #[test]
-fn a_sender_is_healthy_only_with_a_list_that_it_can_use() {
+fn healthy_only_with_usable_list() {
     let endpoint = Peer::new(|_| ok());
     let listed = json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 8)]);
     let bound = |most: usize| move |c: &mut Value| c["catalogue"] = json!({"max_entries": most});
-    // The list of the configuration is enough while discovery is silent, and is not where it is over its bounds.
+    // While discovery is silent the list of the configuration is enough, unless it exceeds its bounds.
     let silent = Discovery::new(json!([]));
     silent.silence();
     let known = Node::start_with(&silent, listed.clone(), bound(2));
     assert_eq!(known.health(), Some(200));
     let over = Node::launch_with(&silent, listed.clone(), bound(1));
-    over.wait_until("it listens", || over.health().is_some());
+    over.wait_until("the sender listens", || over.health().is_some());
     assert_eq!(over.health(), Some(503));
     assert!(over.log().contains("2 endpoints or more, 1 are allowed"), "{}", over.log());
-    // So is a list of discovery that it refuses, until one comes that fits.
+    // A list of discovery that exceeds the bounds is refused, and does not make the sender healthy.
     let discovery = Discovery::new(listed.clone());
     let refusing = Node::launch_with(&discovery, json!([]), bound(1));
     refusing
         .wait_until("the list is refused", || refusing.log().contains("2 endpoints or more, 1 are allowed"));
-    refusing.wait_until("it listens", || refusing.health().is_some());
+    refusing.wait_until("the sender listens", || refusing.health().is_some());
     assert_eq!(refusing.health(), Some(503));
     let calls = |seen: &[Request]| seen.iter().filter(|r| r.start_line.contains("/v1/servers")).count();
     std::thread::sleep(Duration::from_secs(1));
-    assert_eq!(calls(&discovery.peer.seen()), 1, "it is not fetched again at once");
-    // An old list goes before one that is refused.
+    assert_eq!(calls(&discovery.peer.seen()), 1, "the list is not fetched again at once");
+    // The list of the configuration stays in force when discovery's list is refused.
     let old = Node::start_with(&discovery, json!([ready("e-1", endpoint.address, 7)]), bound(1));
     old.wait_until("the list is refused", || old.log().contains("2 endpoints or more, 1 are allowed"));
     assert_eq!(old.health(), Some(200));
     assert_eq!(old.hand_in("alert", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
-    // Discovery may have told that there is nothing.
+    // An empty list from discovery is usable.
     let none = Discovery::new(json!([]));
     assert_eq!(Node::start_with(&none, json!([]), |_| {}).health(), Some(200));
 }
