--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,5 +1,5 @@
-//! Wire lines to `api` events for each sender, and its actions back to lines.
-use crate::listed::Listed;
+//! Translates the simulator's lines to events for each sender's policy, and the policy's actions to lines.
+use crate::listed::ListedEndpoints;
 use sender::api::*;
 use sender::on_demand::OnDemandList;
 use sender::policy::Sender;
@@ -8,46 +8,57 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
+/// An entry of a list, with the endpoint's name in place of its number.
 #[derive(Clone)]
 struct WireEntry {
     name: String,
     entry: Entry,
 }
 
-struct Held {
+/// A message that has not been forgotten yet.
+struct HeldMessage {
+    /// The simulator's name for it.
     name: String,
-    out: u32,
-    over: bool,
+    attempts_in_flight: u32,
+    ended: bool,
 }
 
+/// One sender of the simulator.
 struct Instance {
     sender: Sender,
-    listed: Listed,
+    listed: ListedEndpoints,
     on_demand: OnDemandList,
     around: ProgramSettings,
     events: Vec<Event>,
     endpoints: HashMap<String, EndpointId>,
     endpoint_names: Vec<String>,
     ids: HashMap<String, MsgId>,
-    held: HashMap<MsgId, Held>,
+    held: HashMap<MsgId, HeldMessage>,
     next_id: MsgId,
-    woken: bool,
+    /// Whether the policy has to run at the end of the batch.
+    needs_run: bool,
 }
 
+/// All senders of the simulator, by number.
 #[derive(Default)]
 pub struct Host {
+    /// The time of the batch that is being read.
     now: Option<Ns>,
+    /// The sender that the next lines are for.
     current: Option<u64>,
     instances: BTreeMap<u64, Instance>,
+    /// Lists by their slot.
     tables: HashMap<u64, Rc<Vec<WireEntry>>>,
-    /// A table whose entries are still coming: its number, how many are missing, and those read.
-    filling: Option<(u64, u64, Vec<WireEntry>)>,
+    /// A table whose entries are still being read: its slot, how many are missing, and those read.
+    unfinished_table: Option<(u64, u64, Vec<WireEntry>)>,
     actions: Vec<Action>,
 }
 
-/// The named parts of one line.
+/// The fields of one line.
 struct Fields<'a> {
+    /// The kind of message, which is the line's first word.
     verb: &'a str,
+    /// The rest of the line: `name=value` parts, separated by tabs.
     text: &'a str,
 }
 
@@ -84,25 +95,26 @@
     }
 }
 
+/// Shortens text from the wire for an error message.
 fn shorten(text: &str) -> String {
     text.chars().take(40).collect()
 }
 
 impl Host {
-    /// Takes one line; true when it closed a batch and `reply` holds the answer.
-    pub fn line(&mut self, line: &str, reply: &mut String) -> Result<bool, String> {
+    /// Handles one line. Returns true if it ended a batch, with the answer in `reply`.
+    pub fn handle_line(&mut self, line: &str, reply: &mut String) -> Result<bool, String> {
         if line.is_empty() {
             return Ok(false);
         }
         let (verb, text) = line.split_once('\t').unwrap_or((line, ""));
         let f = Fields { verb, text };
-        if let Some((slot, missing, mut entries)) = self.filling.take() {
+        if let Some((slot, missing, mut entries)) = self.unfinished_table.take() {
             if verb != "ENTRY" {
                 return Err(format!("{}: {missing} ENTRY lines of the TABLE are missing", shorten(verb)));
             }
             entries.push(read_entry(&f)?);
             if missing > 1 {
-                self.filling = Some((slot, missing - 1, entries));
+                self.unfinished_table = Some((slot, missing - 1, entries));
             } else {
                 self.tables.insert(slot, Rc::new(entries));
             }
@@ -128,7 +140,7 @@
                 if lines == 0 {
                     self.tables.insert(slot, Rc::default());
                 } else {
-                    self.filling = Some((slot, lines, Vec::new()));
+                    self.unfinished_table = Some((slot, lines, Vec::new()));
                 }
             }
             "LAUNCH" => {
@@ -153,17 +165,18 @@
                 let known = self.instances.get_mut(&number);
                 let instance =
                     known.ok_or_else(|| format!("{verb} for Sender {number}, which was not launched"))?;
-                instance.event(&f, &self.tables)?;
-                instance.woken = true;
+                instance.take_event(&f, &self.tables)?;
+                instance.needs_run = true;
             }
             _ => return Err(format!("unknown message {}", shorten(verb))),
         }
         Ok(false)
     }
 
+    /// Runs the policy of each sender that needs it, and writes the actions.
     fn answer(&mut self, now: Ns, reply: &mut String) {
         for (number, instance) in &mut self.instances {
-            if !std::mem::take(&mut instance.woken) {
+            if !std::mem::take(&mut instance.needs_run) {
                 continue;
             }
             let events = std::mem::take(&mut instance.events);
@@ -185,7 +198,7 @@
     fn new(sender: Sender, around: ProgramSettings) -> Instance {
         Instance {
             sender,
-            listed: Listed::default(),
+            listed: ListedEndpoints::default(),
             on_demand: OnDemandList::default(),
             around,
             events: Vec::new(),
@@ -194,11 +207,12 @@
             ids: HashMap::new(),
             held: HashMap::new(),
             next_id: 0,
-            woken: true,
+            needs_run: true,
         }
     }
 
-    fn event(&mut self, f: &Fields, tables: &HashMap<u64, Rc<Vec<WireEntry>>>) -> Result<(), String> {
+    /// Takes a line with an event for this sender.
+    fn take_event(&mut self, f: &Fields, tables: &HashMap<u64, Rc<Vec<WireEntry>>>) -> Result<(), String> {
         match f.verb {
             "ANNOUNCE" => {
                 let whole = match f.text("Scope")? {
@@ -224,7 +238,10 @@
                 };
                 self.next_id += 1;
                 self.ids.insert(name.to_string(), message.id);
-                self.held.insert(message.id, Held { name: name.to_string(), out: 0, over: false });
+                self.held.insert(
+                    message.id,
+                    HeldMessage { name: name.to_string(), attempts_in_flight: 0, ended: false },
+                );
                 let (policy, listed) = (&self.sender, &self.listed);
                 self.on_demand.before_message(policy, listed, message.dest, &mut self.events);
                 self.events.push(Event::Message(message));
@@ -237,7 +254,7 @@
                 }
             }
             "ECHO" => {
-                let endpoint = self.endpoint(f.text("Endpoint")?);
+                let endpoint = self.endpoint_id(f.text("Endpoint")?);
                 let (outcome, report) = (read_outcome(f)?, self.report(f)?);
                 self.events.push(Event::Probed { endpoint, outcome, report });
             }
@@ -250,7 +267,7 @@
                 let end = AttemptEnd {
                     id,
                     attempt: f.parse("Shot")?,
-                    endpoint: self.endpoint(f.text("Endpoint")?),
+                    endpoint: self.endpoint_id(f.text("Endpoint")?),
                     outcome,
                     took: f.parse("WaitTimeNs")?,
                     done: f.parse_or::<u8>("DoneFlag", 0)? != 0,
@@ -259,38 +276,40 @@
                 };
                 self.events.push(Event::AttemptEnd(end));
                 if let Some(held) = self.held.get_mut(&id) {
-                    held.out = held.out.saturating_sub(1);
-                    held.over |= end.done;
+                    held.attempts_in_flight = held.attempts_in_flight.saturating_sub(1);
+                    held.ended |= end.done;
                 }
                 self.forget(id);
             }
-            // Notes of other senders are not used, and no class is streamed.
+            // Notes from other senders (FROM_PEER) are not used, and no class streams its answers (HEADERS).
             _ => {}
         }
         Ok(())
     }
 
+    /// Takes a list of endpoints.
     fn announce(&mut self, whole: bool, table: &[WireEntry]) {
         if whole {
             self.listed.clear();
         }
         let mut changed = Vec::new();
         for line in table {
-            let endpoint = self.endpoint(&line.name);
+            let endpoint = self.endpoint_id(&line.name);
             self.listed.set(Entry { endpoint, ..line.entry });
             changed.push(endpoint);
         }
         let (policy, listed) = (&self.sender, &self.listed);
         if whole {
             self.on_demand.directory_replaced(policy, listed, &mut self.events);
-            // Lists are short here.
+            // Lists in the simulator are short enough to tell the policy of all pending destinations at once.
             self.on_demand.tell_pending(policy, listed, usize::MAX, &mut self.events);
         } else {
             self.on_demand.endpoints_changed(policy, listed, &changed, &mut self.events);
         }
     }
 
-    fn endpoint(&mut self, name: &str) -> EndpointId {
+    /// Returns the number of an endpoint, and assigns one to a new name.
+    fn endpoint_id(&mut self, name: &str) -> EndpointId {
         if let Some(&id) = self.endpoints.get(name) {
             return id;
         }
@@ -300,6 +319,7 @@
         id
     }
 
+    /// Reads the load report of a line, if it has one.
     fn report(&self, f: &Fields) -> Result<Option<LimitReport>, String> {
         let Some(text) = f.find("Metrics") else {
             return Ok(None);
@@ -318,32 +338,38 @@
         })
     }
 
+    /// Marks a message as ended.
     fn end(&mut self, id: MsgId) {
         if let Some(held) = self.held.get_mut(&id) {
-            held.over = true;
+            held.ended = true;
         }
         self.forget(id);
     }
 
-    /// Drops the name of a message that has ended and has no attempt out.
+    /// Drops the name of a message that has ended and has no attempt in flight.
     fn forget(&mut self, id: MsgId) {
-        if self.held.get(&id).is_some_and(|h| h.over && h.out == 0) {
+        if self.held.get(&id).is_some_and(|h| h.ended && h.attempts_in_flight == 0) {
             if let Some(held) = self.held.remove(&id) {
                 self.ids.remove(&held.name);
             }
         }
     }
 
+    /// Writes an action as a line.
     fn write(&mut self, action: Action, reply: &mut String) {
         let name = |id: MsgId| self.held.get(&id).map(|h| h.name.as_str());
-        let place = |id: EndpointId| self.endpoint_names[id as usize].as_str();
-        // Writing to a String cannot fail; a message without a name is over, and nothing is owed for it.
+        let endpoint_name = |id: EndpointId| self.endpoint_names[id as usize].as_str();
+        // Writing to a String cannot fail. A message without a name has ended and needs no line.
         let _ = match action {
             Action::Send { id, endpoint, limit, .. } => {
                 let Some(n) = name(id) else { return };
-                let _ = writeln!(reply, "DELIVER\tRef={n}\tEndpoint={}\tLimitNs={limit}", place(endpoint));
+                let _ = writeln!(
+                    reply,
+                    "DELIVER\tRef={n}\tEndpoint={}\tLimitNs={limit}",
+                    endpoint_name(endpoint)
+                );
                 if let Some(held) = self.held.get_mut(&id) {
-                    held.out += 1;
+                    held.attempts_in_flight += 1;
                 }
                 Ok(())
             }
@@ -363,8 +389,10 @@
                 let Some(n) = name(id) else { return };
                 writeln!(reply, "RETRACT\tRef={n}\tShot={attempt}")
             }
-            Action::Probe { endpoint } => writeln!(reply, "HEALTH_CHECK\tEndpoint={}", place(endpoint)),
-            Action::Close { endpoint } => writeln!(reply, "DROP_CONNS\tEndpoint={}", place(endpoint)),
+            Action::Probe { endpoint } => {
+                writeln!(reply, "HEALTH_CHECK\tEndpoint={}", endpoint_name(endpoint))
+            }
+            Action::Close { endpoint } => writeln!(reply, "DROP_CONNS\tEndpoint={}", endpoint_name(endpoint)),
             Action::Timer { at } => writeln!(reply, "TIMER\tMomentNs={at}\tKeyBack=0"),
         };
     }
--- a/src/bin/simulator-adapter/listed.rs
+++ b/src/bin/simulator-adapter/listed.rs
@@ -1,20 +1,22 @@
-//! What one sender's lists have named so far.
+//! The endpoints that one sender's lists have named so far.
 use sender::api::{Condition, DestId, EndpointId, Entry};
 use sender::on_demand::Directory;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// ListedEndpoints endpoints, by number and by destination.
 #[derive(Default)]
-pub struct Listed {
+pub struct ListedEndpoints {
     entries: BTreeMap<EndpointId, Entry>,
     by_destination: BTreeMap<DestId, BTreeSet<EndpointId>>,
 }
 
-impl Listed {
+impl ListedEndpoints {
+    /// Removes all endpoints.
     pub fn clear(&mut self) {
-        *self = Listed::default();
+        *self = ListedEndpoints::default();
     }
 
-    /// Takes in one entry of a list; what is gone is listed no more.
+    /// Applies one entry of a list. An endpoint that is gone is removed.
     pub fn set(&mut self, entry: Entry) {
         self.remove(entry.endpoint);
         if entry.condition != Condition::Gone {
@@ -34,7 +36,7 @@
     }
 }
 
-impl Directory for Listed {
+impl Directory for ListedEndpoints {
     fn entry(&self, endpoint: EndpointId) -> Option<Entry> {
         self.entries.get(&endpoint).copied()
     }
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,4 +1,5 @@
-//! The adapter: the simulator's wire on standard input and output, many senders in one process.
+//! The simulator adapter: runs the policies of many senders in one process, and speaks the simulator's line
+//! protocol on standard input and output.
 mod host;
 mod listed;
 
@@ -10,20 +11,20 @@
     let mut host = host::Host::default();
     let mut reply = String::new();
     let mut line = Vec::new();
-    let mut number = 0u64;
+    let mut line_number = 0u64;
     loop {
         line.clear();
         match input.read_until(b'\n', &mut line) {
             Ok(0) => return,
             Ok(_) => {}
-            Err(e) => stop(&format!("line {}: cannot read: {e}", number + 1)),
+            Err(e) => stop(&format!("line {}: cannot read: {e}", line_number + 1)),
         }
-        number += 1;
+        line_number += 1;
         let text = match std::str::from_utf8(&line) {
             Ok(text) => text.trim_end_matches(['\n', '\r']),
-            Err(_) => stop(&format!("line {number}: not UTF-8 text")),
+            Err(_) => stop(&format!("line {line_number}: not UTF-8 text")),
         };
-        match host.line(text, &mut reply) {
+        match host.handle_line(text, &mut reply) {
             Ok(false) => {}
             Ok(true) => {
                 let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
@@ -32,12 +33,12 @@
                 }
                 reply.clear();
             }
-            Err(e) => stop(&format!("line {number}: {e}")),
+            Err(e) => stop(&format!("line {line_number}: {e}")),
         }
     }
 }
 
-/// A wire that cannot be understood is no ground to decide on: say why, once, and end.
+/// Prints why the input can't be understood, and exits with status 2: decisions on such input would be wrong.
 fn stop(message: &str) -> ! {
     eprintln!("simulator-adapter: {message}");
     std::process::exit(2)
