--- a/crates/catalogue/examples/footprint.rs
+++ b/crates/catalogue/examples/footprint.rs
@@ -62,7 +62,7 @@
 }
 
 fn measure(size: u64) {
-    let limits = Limits::none();
+    let limits = Limits::unlimited();
     let list = whole(size);
     let before = HELD.load(Ordering::Relaxed);
     MOST.store(before, Ordering::Relaxed);
--- a/crates/catalogue/src/intake.rs
+++ b/crates/catalogue/src/intake.rs
@@ -15,7 +15,7 @@
 
 /// A list that was read to its end.
 #[derive(Clone)]
-pub struct Taken {
+pub struct LoadedList {
     /// The catalogue with the list applied.
     pub catalogue: Catalogue,
     pub generation: u64,
@@ -41,7 +41,7 @@
 }
 
 /// Reads a list in discovery's form.
-pub fn read(reader: impl Read, current: &Catalogue, limits: &Limits) -> Result<Taken, IntakeError> {
+pub fn read(reader: impl Read, current: &Catalogue, limits: &Limits) -> Result<LoadedList, IntakeError> {
     let mut builder = Builder::new(current, limits);
     let source = Source::new(reader, MAX_ENTRY);
     let progress = source.progress();
@@ -52,7 +52,11 @@
 }
 
 /// Reads the list that stands under a name in a JSON object; None where the object has no such member.
-pub fn read_member(reader: impl Read, member: &str, limits: &Limits) -> Result<Option<Taken>, IntakeError> {
+pub fn read_member(
+    reader: impl Read,
+    member: &str,
+    limits: &Limits,
+) -> Result<Option<LoadedList>, IntakeError> {
     let none = Catalogue::default();
     let mut builder = Builder::new(&none, limits);
     // What stands beside the list has no bound: it is skipped, and not held.
--- a/crates/catalogue/src/intake/builder.rs
+++ b/crates/catalogue/src/intake/builder.rs
@@ -1,7 +1,7 @@
 //! Gathers the entries of one list, within bounds, and makes the next snapshot of them.
 
 use super::entry::{Entry, Fields};
-use super::{IntakeError, Taken};
+use super::{IntakeError, LoadedList};
 use crate::{Catalogue, Endpoint, EndpointId, Limits};
 use std::collections::BTreeSet;
 
@@ -110,7 +110,7 @@
     }
 
     /// The next snapshot, where the list was read to its end.
-    pub(super) fn finish(mut self, read: serde_json::Result<()>) -> Result<Taken, IntakeError> {
+    pub(super) fn finish(mut self, read: serde_json::Result<()>) -> Result<LoadedList, IntakeError> {
         if let Some(refused) = self.refused.take() {
             return Err(refused);
         }
@@ -123,7 +123,7 @@
         if let Some(refused) = self.refused.take() {
             return Err(refused);
         }
-        Ok(Taken {
+        Ok(LoadedList {
             catalogue,
             generation: self.generation,
             reset: self.reset,
--- a/crates/catalogue/src/intake/entry.rs
+++ b/crates/catalogue/src/intake/entry.rs
@@ -1,6 +1,6 @@
 //! One entry of a list.
 
-use crate::{Endpoint, Lifecycle, MAX_NAME};
+use crate::{Endpoint, Lifecycle, MAX_NAME_BYTES};
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 use std::borrow::Cow;
@@ -47,7 +47,7 @@
 
     /// The entry; None where a member that it needs can't be read.
     pub(super) fn entry(&self) -> Option<Entry<'_>> {
-        if self.name.len() > MAX_NAME {
+        if self.name.len() > MAX_NAME_BYTES {
             return None;
         }
         let lifecycle = match self.lifecycle.as_ref() {
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -21,7 +21,7 @@
 pub type DestinationId = u64;
 
 /// Names of endpoints longer than this many bytes are not taken from a list.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// Bytes that a reference-counted value takes besides itself.
 const ARC_COUNTS: usize = 2 * size_of::<usize>();
--- a/crates/catalogue/src/limits.rs
+++ b/crates/catalogue/src/limits.rs
@@ -14,12 +14,12 @@
 
 impl Limits {
     /// The bounds for a process that may use so many bytes of memory.
-    pub fn of_memory(memory_bytes: usize) -> Limits {
+    pub fn for_memory(memory_bytes: usize) -> Limits {
         Limits { max_entries: usize::MAX, max_bytes: (memory_bytes as f64 * PART_OF_MEMORY) as usize }
     }
 
     /// No bounds, as for lists that were taken in before.
-    pub fn none() -> Limits {
+    pub fn unlimited() -> Limits {
         Limits { max_entries: usize::MAX, max_bytes: usize::MAX }
     }
 }
--- a/crates/catalogue/src/page.rs
+++ b/crates/catalogue/src/page.rs
@@ -78,7 +78,7 @@
         (0..self.records.len()).filter(|&place| self.record(place).is_some())
     }
 
-    /// Puts a record in its place. A name has at most [`crate::MAX_NAME`] bytes.
+    /// Puts a record in its place. A name has at most [`crate::MAX_NAME_BYTES`] bytes.
     pub(crate) fn put(&mut self, place: usize, name: &str, address: SocketAddr, mut record: Record) {
         self.other_addresses.retain(|other| other.0 != place);
         match address.ip() {
--- a/crates/catalogue/src/snapshot.rs
+++ b/crates/catalogue/src/snapshot.rs
@@ -4,7 +4,7 @@
 use crate::index::Index;
 use crate::interner::Interner;
 use crate::page::{Page, Record, State, PAGE};
-use crate::{DestinationId, EndpointId, Lifecycle, MAX_NAME};
+use crate::{DestinationId, EndpointId, Lifecycle, MAX_NAME_BYTES};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -79,7 +79,7 @@
     }
 
     /// How many of them are ready.
-    pub fn ready(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         self.parts.ready
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// A catalogue of endpoints that another process has numbered, as in an upgrade. `next_id` is above all of them.
-    pub fn numbered<'a>(
+    pub fn from_numbered<'a>(
         entries: impl IntoIterator<Item = (EndpointId, Endpoint<'a>)>,
         next_id: EndpointId,
     ) -> Catalogue {
@@ -184,7 +184,7 @@
     /// Lists an endpoint under a number; false where a word of it can't be taken.
     pub(crate) fn put(&mut self, id: EndpointId, endpoint: &Endpoint) -> bool {
         let parts = Arc::make_mut(&mut self.parts);
-        if endpoint.name.len() > MAX_NAME {
+        if endpoint.name.len() > MAX_NAME_BYTES {
             return false;
         }
         let Some(zone) = intern(&mut parts.zones, endpoint.zone) else { return false };
--- a/crates/catalogue/tests/catalogue.rs
+++ b/crates/catalogue/tests/catalogue.rs
@@ -1,7 +1,7 @@
 //! The catalogue against a plain map, over drawn lists and changes; snapshots; memory.
 
-use catalogue::intake::{read, read_member, IntakeError, Taken};
-use catalogue::{Catalogue, EndpointId, Lifecycle, Limits, MAX_NAME};
+use catalogue::intake::{read, read_member, IntakeError, LoadedList};
+use catalogue::{Catalogue, EndpointId, Lifecycle, Limits, MAX_NAME_BYTES};
 use proptest::prelude::*;
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
@@ -57,8 +57,8 @@
     format!(r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#, entries.join(","))
 }
 
-fn take(text: &str, current: &Catalogue) -> Taken {
-    read(text.as_bytes(), current, &Limits::none()).unwrap()
+fn take(text: &str, current: &Catalogue) -> LoadedList {
+    read(text.as_bytes(), current, &Limits::unlimited()).unwrap()
 }
 
 /// A list of destinations with one endpoint each.
@@ -82,7 +82,7 @@
 
 fn assert_same(catalogue: &Catalogue, model: &BTreeMap<String, Row>) {
     assert_eq!(catalogue.len(), model.len());
-    assert_eq!(catalogue.ready(), model.values().filter(|row| row.lifecycle == "Ready").count());
+    assert_eq!(catalogue.ready_count(), model.values().filter(|row| row.lifecycle == "Ready").count());
     let mut by_destination: BTreeMap<u64, Vec<EndpointId>> = BTreeMap::new();
     for (name, row) in model {
         let id = catalogue.id(name).unwrap_or_else(|| panic!("{name} is listed"));
@@ -162,7 +162,7 @@
     let current = take(&listed(0..3), &Catalogue::default()).catalogue;
     let text = listed(0..5);
     for length in 0..text.len() {
-        let read = read(&text.as_bytes()[..length], &current, &Limits::none());
+        let read = read(&text.as_bytes()[..length], &current, &Limits::unlimited());
         assert!(matches!(read, Err(IntakeError::Unreadable(_))), "{length}");
     }
     assert_eq!(current.len(), 3);
@@ -191,9 +191,9 @@
 fn the_longest_names_are_taken_and_longer_ones_are_left_out() {
     let row =
         Row { address: "10.0.0.1:1".into(), zone: "a".into(), cell: 1, lifecycle: "Ready", weight: 0.0 };
-    let names: Vec<String> = (0..300).map(|n| format!("{n:0>width$}", width = MAX_NAME)).collect();
+    let names: Vec<String> = (0..300).map(|n| format!("{n:0>width$}", width = MAX_NAME_BYTES)).collect();
     let mut entries: Vec<String> = names.iter().map(|name| entry(name, &row)).collect();
-    entries.push(entry(&"x".repeat(MAX_NAME + 1), &row));
+    entries.push(entry(&"x".repeat(MAX_NAME_BYTES + 1), &row));
     let taken = take(&list(1, true, &entries), &Catalogue::default());
     assert_eq!((taken.entries, taken.unreadable), (300, 1));
     assert!(names.iter().all(|name| taken.catalogue.id(name).is_some()));
@@ -216,12 +216,12 @@
 #[test]
 fn bounds_refuse_a_list_with_figures_and_leave_the_old_one() {
     let current = take(&listed(0..100), &Catalogue::default()).catalogue;
-    let entries = Limits { max_entries: 5_000, ..Limits::none() };
+    let entries = Limits { max_entries: 5_000, ..Limits::unlimited() };
     match read(listed(0..6_000).as_bytes(), &current, &entries) {
         Err(IntakeError::TooManyEntries { entries: 5_001, allowed: 5_000 }) => {}
         other => panic!("{:?}", other.map(|taken| taken.entries)),
     }
-    let memory = Limits { max_bytes: 200_000, ..Limits::none() };
+    let memory = Limits { max_bytes: 200_000, ..Limits::unlimited() };
     match read(listed(0..60_000).as_bytes(), &current, &memory) {
         Err(IntakeError::TooMuchMemory { bytes, allowed: 200_000, entries }) => {
             assert!(bytes > 200_000 && entries < 10_000, "{bytes} bytes after {entries}");
@@ -230,7 +230,7 @@
     }
     // Changes count with what is listed already.
     let more = listed(100..200).replace("true", "false");
-    let at_most = Limits { max_entries: 150, ..Limits::none() };
+    let at_most = Limits { max_entries: 150, ..Limits::unlimited() };
     assert!(matches!(read(more.as_bytes(), &current, &at_most), Err(IntakeError::TooManyEntries { .. })));
     assert_eq!(current.len(), 100);
 }
@@ -248,16 +248,19 @@
         }
     }
     let reader = Watched(text.as_bytes(), &most, before);
-    assert!(matches!(read(reader, &Catalogue::default(), &Limits::none()), Err(IntakeError::Unreadable(_))));
+    assert!(matches!(
+        read(reader, &Catalogue::default(), &Limits::unlimited()),
+        Err(IntakeError::Unreadable(_))
+    ));
     assert!(most.get() < 4 << 20, "{} bytes held", most.get());
 }
 
 #[test]
 fn a_list_is_read_from_a_member_of_an_object() {
     let text = format!(r#"{{"settings":{{"known":[1]}},"known":{},"limits":{{}}}}"#, listed(0..40));
-    let taken = read_member(text.as_bytes(), "known", &Limits::none()).unwrap().unwrap();
+    let taken = read_member(text.as_bytes(), "known", &Limits::unlimited()).unwrap().unwrap();
     assert_eq!(taken.catalogue.len(), 40);
-    assert!(read_member(text.as_bytes(), "unknown", &Limits::none()).unwrap().is_none());
+    assert!(read_member(text.as_bytes(), "unknown", &Limits::unlimited()).unwrap().is_none());
 }
 
 #[test]
@@ -266,7 +269,7 @@
     let active: Vec<EndpointId> = old.ids().step_by(7).collect();
     let known = take(&listed(25..80), &Catalogue::default()).catalogue;
     let handed = active.iter().map(|&id| (id, old.get(id).unwrap()));
-    let mut new = Catalogue::numbered(handed, old.next_id());
+    let mut new = Catalogue::from_numbered(handed, old.next_id());
     new.add_missing(&known);
     assert!(active.iter().all(|&id| new.get(id) == old.get(id)));
     assert!(known.ids().all(|id| new.id(known.get(id).unwrap().name).is_some()));
--- a/crates/store/examples/measure.rs
+++ b/crates/store/examples/measure.rs
@@ -10,8 +10,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 use store::disk::Disk;
-use store::frame::Does;
-use store::log::{Config, Entry, Images, Log};
+use store::frame::Operation;
+use store::log::{Entry, Log, LogConfig, SnapshotSource};
 
 const BODY: usize = 500;
 const LIMIT: u64 = 2_800_000;
@@ -20,8 +20,8 @@
 #[derive(Default)]
 struct Kept(BTreeMap<u64, Vec<u8>>);
 
-impl Images for Kept {
-    fn image(&self, key: u64) -> Option<Vec<u8>> {
+impl SnapshotSource for Kept {
+    fn snapshot(&self, key: u64) -> Option<Vec<u8>> {
         self.0.get(&key).cloned()
     }
 }
@@ -33,7 +33,7 @@
 
 fn open(folder: &Path, durable: bool) -> Result<Log<Disk>, Box<dyn Error>> {
     std::fs::create_dir(folder)?;
-    let config = Config { owner: "n0".into(), limit: LIMIT, largest: 70_000, durable };
+    let config = LogConfig { owner: "n0".into(), max_bytes: LIMIT, max_payload_bytes: 70_000, durable };
     Ok(Log::open(Disk::new(folder), config, |_| Ok(()))?.0)
 }
 
@@ -47,11 +47,11 @@
         next += waiting as u64;
         let mut entries: Vec<Entry> = Vec::new();
         for &key in &keys {
-            entries.push(Entry { key, does: Does::Begin, payload: &payload });
-            entries.push(Entry { key, does: Does::Add, payload: &[1; 40] });
+            entries.push(Entry { key, operation: Operation::Put, payload: &payload });
+            entries.push(Entry { key, operation: Operation::Merge, payload: &[1; 40] });
         }
         let over: Vec<u64> = kept.0.keys().copied().take(kept.0.len().saturating_sub(4 * waiting)).collect();
-        entries.extend(over.iter().map(|&key| Entry { key, does: Does::End, payload: &[] }));
+        entries.extend(over.iter().map(|&key| Entry { key, operation: Operation::Delete, payload: &[] }));
         let start = Instant::now();
         log.append(&entries, &kept)?;
         if durable {
@@ -61,8 +61,8 @@
         over.iter().for_each(|key| _ = kept.0.remove(key));
         keys.iter().for_each(|key| _ = kept.0.insert(*key, payload.clone()));
     }
-    let work = log.work();
-    Ok((times, work.written as f64 / next as f64))
+    let stats = log.stats();
+    Ok((times, stats.written_bytes as f64 / next as f64))
 }
 
 /// The same bytes to one file, each round with a sync.
@@ -86,18 +86,18 @@
     for key in 0..60_000u64 {
         let payload = vec![7; BODY];
         let start = Instant::now();
-        log.append(&[Entry { key, does: Does::Begin, payload: &payload }], &kept)?;
+        log.append(&[Entry { key, operation: Operation::Put, payload: &payload }], &kept)?;
         times.push(start.elapsed());
         kept.0.insert(key, payload);
         if key >= 2_300 {
             // Every tenth of them stays for long.
             let over = if key % 10 == 0 { key.saturating_sub(20_000) } else { key - 100 };
-            log.append(&[Entry { key: over, does: Does::End, payload: &[] }], &kept)?;
+            log.append(&[Entry { key: over, operation: Operation::Delete, payload: &[] }], &kept)?;
             kept.0.remove(&over);
         }
     }
-    let work = log.work();
-    let moved = work.moved as f64 / work.written as f64;
+    let stats = log.stats();
+    let moved = stats.moved_bytes as f64 / stats.written_bytes as f64;
     Ok((percentile(&mut times, 0.5), percentile(&mut times, 1.0), moved))
 }
 
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,30 +1,31 @@
-//! A folder on a real disk.
-use crate::files::{Append, Files};
+//! The file operations of the log on a real disk.
+use crate::file_system::{AppendFile, FileSystem};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
+/// A folder on a real disk.
 #[derive(Clone, Debug)]
 pub struct Disk {
     folder: PathBuf,
 }
 
 impl Disk {
-    /// A folder that exists.
+    /// Uses a folder, which has to exist.
     pub fn new(folder: &Path) -> Disk {
         Disk { folder: folder.to_path_buf() }
     }
 }
 
-impl Files for Disk {
+impl FileSystem for Disk {
     type File = File;
 
-    fn names(&self) -> io::Result<Vec<String>> {
+    fn file_names(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
             let entry = entry?;
             if entry.file_type()?.is_file() {
-                // A name that is no text is none of the log's.
+                // The log's own files have UTF-8 names; others are skipped.
                 names.extend(entry.file_name().into_string());
             }
         }
@@ -35,7 +36,7 @@
         fs::read(self.folder.join(name))
     }
 
-    fn head(&self, name: &str, length: usize) -> io::Result<Vec<u8>> {
+    fn read_prefix(&self, name: &str, length: usize) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
         File::open(self.folder.join(name))?.take(length as u64).read_to_end(&mut bytes)?;
         Ok(bytes)
@@ -45,7 +46,7 @@
         File::create(self.folder.join(name))
     }
 
-    fn cut(&self, name: &str, length: u64) -> io::Result<()> {
+    fn truncate(&self, name: &str, length: u64) -> io::Result<()> {
         let file = OpenOptions::new().write(true).open(self.folder.join(name))?;
         file.set_len(length)?;
         file.sync_data()
@@ -59,12 +60,12 @@
         fs::remove_file(self.folder.join(name))
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         File::open(&self.folder)?.sync_all()
     }
 }
 
-impl Append for File {
+impl AppendFile for File {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.write_all(bytes)
     }
@@ -73,7 +74,7 @@
         self.sync_data()
     }
 
-    fn another(&self) -> io::Result<File> {
+    fn duplicate_handle(&self) -> io::Result<File> {
         self.try_clone()
     }
 }
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,129 +1,146 @@
-//! The bytes of a segment: its header, and its records, each framed by length, sequence and checksum.
+//! The byte format of a segment: a header, followed by records.
 //!
-//! All numbers are little endian. Header (96 bytes): magic 8, version 2, length of the owner's name 2, number of the
-//! segment 8, sequence number of its first record 8, owner's name 64, CRC-32C of all that 4. Frame: length of the
-//! payload 4, what it does to its key 1, sequence number 8, key 8, CRC-32C of these and the payload 4, payload.
+//! All numbers are little endian.
+//!
+//! Segment header (96 bytes): magic 8, format version 2, length of the owner's name 2, segment number 8,
+//! sequence number of the first record 8, owner's name 64, CRC-32C of all these bytes 4.
+//!
+//! Record: payload length 4, operation 1, sequence number 8, key 8, CRC-32C of these bytes and the payload 4,
+//! payload.
 
+/// First bytes of each segment.
 pub const MAGIC: [u8; 8] = *b"cplstore";
-pub const VERSION: u16 = 1;
-pub const HEADER: usize = 96;
-pub const FRAME: usize = 25;
-/// Bytes of an owner's name.
-pub const OWNER: usize = 64;
-/// Bytes of a payload: a message's body of 64 KiB, and what belongs to it.
-pub const PAYLOAD: usize = 256 << 10;
+/// Version of the format that this program writes and reads.
+pub const FORMAT_VERSION: u16 = 1;
+/// Length of a segment's header.
+pub const SEGMENT_HEADER_BYTES: usize = 96;
+/// Length of what precedes the payload in a record.
+pub const RECORD_HEADER_BYTES: usize = 25;
+/// Longest name of an owner.
+pub const MAX_OWNER_BYTES: usize = 64;
+/// Longest payload: a message body of 64 KiB with its metadata and attempts fits.
+pub const MAX_PAYLOAD_BYTES: usize = 256 << 10;
 
-/// What a record does to its key.
+/// What a record does to the state of its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Does {
-    /// All that is known of the key; whatever came before it counts no more.
-    Begin,
-    /// More about a key that has begun.
-    Add,
-    /// Nothing is owed for the key any more.
-    End,
+pub enum Operation {
+    /// Replaces the state of the key.
+    Put,
+    /// Adds to the state of a key that was put before.
+    Merge,
+    /// Deletes the key.
+    Delete,
 }
 
-impl Does {
-    fn byte(self) -> u8 {
+impl Operation {
+    fn to_byte(self) -> u8 {
         match self {
-            Does::Begin => 1,
-            Does::Add => 2,
-            Does::End => 3,
+            Operation::Put => 1,
+            Operation::Merge => 2,
+            Operation::Delete => 3,
         }
     }
 
-    fn read(byte: u8) -> Option<Does> {
+    fn from_byte(byte: u8) -> Option<Operation> {
         match byte {
-            1 => Some(Does::Begin),
-            2 => Some(Does::Add),
-            3 => Some(Does::End),
+            1 => Some(Operation::Put),
+            2 => Some(Operation::Merge),
+            3 => Some(Operation::Delete),
             _ => None,
         }
     }
 }
 
-/// A record as it lies in a segment's bytes.
+/// One record, with its payload borrowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record<'a> {
     pub sequence: u64,
     pub key: u64,
-    pub does: Does,
+    pub operation: Operation,
     pub payload: &'a [u8],
 }
 
 impl Record<'_> {
-    pub fn length(&self) -> usize {
-        FRAME + self.payload.len()
+    /// Length of the encoded record.
+    pub fn encoded_len(&self) -> usize {
+        RECORD_HEADER_BYTES + self.payload.len()
     }
 }
 
+/// The header of a segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Header {
+pub struct SegmentHeader {
+    /// Version of the segment's format.
     pub version: u16,
+    /// Number of the segment.
     pub number: u64,
-    pub first: u64,
+    /// Sequence number of the segment's first record.
+    pub first_sequence: u64,
+    /// Name of the process that the segment belongs to.
     pub owner: String,
 }
 
-fn bytes<const N: usize>(from: &[u8], at: usize) -> Option<[u8; N]> {
-    from.get(at..at + N)?.try_into().ok()
+fn array_at<const N: usize>(input: &[u8], offset: usize) -> Option<[u8; N]> {
+    input.get(offset..offset + N)?.try_into().ok()
 }
 
-pub fn encode_header(owner: &str, number: u64, first: u64) -> [u8; HEADER] {
-    let mut all = [0; HEADER];
-    all[..8].copy_from_slice(&MAGIC);
-    all[8..10].copy_from_slice(&VERSION.to_le_bytes());
-    let name = &owner.as_bytes()[..owner.len().min(OWNER)];
-    all[10..12].copy_from_slice(&(name.len() as u16).to_le_bytes());
-    all[12..20].copy_from_slice(&number.to_le_bytes());
-    all[20..28].copy_from_slice(&first.to_le_bytes());
-    all[28..28 + name.len()].copy_from_slice(name);
-    let sum = crc32c::crc32c(&all[..HEADER - 4]);
-    all[HEADER - 4..].copy_from_slice(&sum.to_le_bytes());
-    all
+/// Encodes the header of a segment.
+pub fn encode_header(owner: &str, number: u64, first_sequence: u64) -> [u8; SEGMENT_HEADER_BYTES] {
+    let mut header = [0; SEGMENT_HEADER_BYTES];
+    header[..8].copy_from_slice(&MAGIC);
+    header[8..10].copy_from_slice(&FORMAT_VERSION.to_le_bytes());
+    let name = &owner.as_bytes()[..owner.len().min(MAX_OWNER_BYTES)];
+    header[10..12].copy_from_slice(&(name.len() as u16).to_le_bytes());
+    header[12..20].copy_from_slice(&number.to_le_bytes());
+    header[20..28].copy_from_slice(&first_sequence.to_le_bytes());
+    header[28..28 + name.len()].copy_from_slice(name);
+    let checksum = crc32c::crc32c(&header[..SEGMENT_HEADER_BYTES - 4]);
+    header[SEGMENT_HEADER_BYTES - 4..].copy_from_slice(&checksum.to_le_bytes());
+    header
 }
 
-/// The header at the start of a segment; none where it is torn or damaged. Its version may be another.
-pub fn decode_header(from: &[u8]) -> Option<Header> {
-    let all: [u8; HEADER] = bytes(from, 0)?;
-    let sum = u32::from_le_bytes(bytes(&all, HEADER - 4)?);
-    if all[..8] != MAGIC || crc32c::crc32c(&all[..HEADER - 4]) != sum {
+/// Decodes the header at the start of a segment; `None` if it is torn or damaged. The version is not checked.
+pub fn decode_header(input: &[u8]) -> Option<SegmentHeader> {
+    let header: [u8; SEGMENT_HEADER_BYTES] = array_at(input, 0)?;
+    let checksum = u32::from_le_bytes(array_at(&header, SEGMENT_HEADER_BYTES - 4)?);
+    if header[..8] != MAGIC || crc32c::crc32c(&header[..SEGMENT_HEADER_BYTES - 4]) != checksum {
         return None;
     }
-    let length = usize::from(u16::from_le_bytes(bytes(&all, 10)?));
-    Some(Header {
-        version: u16::from_le_bytes(bytes(&all, 8)?),
-        number: u64::from_le_bytes(bytes(&all, 12)?),
-        first: u64::from_le_bytes(bytes(&all, 20)?),
-        owner: String::from_utf8(all.get(28..28 + length.min(OWNER))?.to_vec()).ok()?,
+    let length = usize::from(u16::from_le_bytes(array_at(&header, 10)?));
+    Some(SegmentHeader {
+        version: u16::from_le_bytes(array_at(&header, 8)?),
+        number: u64::from_le_bytes(array_at(&header, 12)?),
+        first_sequence: u64::from_le_bytes(array_at(&header, 20)?),
+        owner: String::from_utf8(header.get(28..28 + length.min(MAX_OWNER_BYTES))?.to_vec()).ok()?,
     })
 }
 
-pub fn encode(to: &mut Vec<u8>, record: &Record) {
-    let start = to.len();
-    to.extend_from_slice(&(record.payload.len() as u32).to_le_bytes());
-    to.push(record.does.byte());
-    to.extend_from_slice(&record.sequence.to_le_bytes());
-    to.extend_from_slice(&record.key.to_le_bytes());
-    let sum = crc32c::crc32c_append(crc32c::crc32c(&to[start..]), record.payload);
-    to.extend_from_slice(&sum.to_le_bytes());
-    to.extend_from_slice(record.payload);
+/// Appends an encoded record to a buffer.
+pub fn encode_record(buffer: &mut Vec<u8>, record: &Record) {
+    let start = buffer.len();
+    buffer.extend_from_slice(&(record.payload.len() as u32).to_le_bytes());
+    buffer.push(record.operation.to_byte());
+    buffer.extend_from_slice(&record.sequence.to_le_bytes());
+    buffer.extend_from_slice(&record.key.to_le_bytes());
+    let checksum = crc32c::crc32c_append(crc32c::crc32c(&buffer[start..]), record.payload);
+    buffer.extend_from_slice(&checksum.to_le_bytes());
+    buffer.extend_from_slice(record.payload);
 }
 
-/// The record at the start of `from`, if it is whole and right and its sequence number within the given ones.
-pub fn decode(from: &[u8], sequences: std::ops::RangeInclusive<u64>) -> Option<Record<'_>> {
-    let length = u32::from_le_bytes(bytes(from, 0)?) as usize;
-    let sequence = u64::from_le_bytes(bytes(from, 5)?);
-    // Before the checksum, which costs more: most places that are no record's fail here.
-    if length > PAYLOAD || !sequences.contains(&sequence) {
+/// Decodes the record at the start of `input`; `None` unless it is complete, its checksum is right and its
+/// sequence number is within `sequences`.
+pub fn decode_record(input: &[u8], sequences: std::ops::RangeInclusive<u64>) -> Option<Record<'_>> {
+    let length = u32::from_le_bytes(array_at(input, 0)?) as usize;
+    let sequence = u64::from_le_bytes(array_at(input, 5)?);
+    // The cheap tests come before the checksum: most offsets at which no record starts fail here.
+    if length > MAX_PAYLOAD_BYTES || !sequences.contains(&sequence) {
         return None;
     }
-    let does = Does::read(*from.get(4)?)?;
-    let payload = from.get(FRAME..FRAME + length)?;
-    let sum = crc32c::crc32c_append(crc32c::crc32c(&from[..FRAME - 4]), payload);
-    if sum != u32::from_le_bytes(bytes(from, FRAME - 4)?) {
+    let operation = Operation::from_byte(*input.get(4)?)?;
+    let payload = input.get(RECORD_HEADER_BYTES..RECORD_HEADER_BYTES + length)?;
+    let checksum = crc32c::crc32c_append(crc32c::crc32c(&input[..RECORD_HEADER_BYTES - 4]), payload);
+    if checksum != u32::from_le_bytes(array_at(input, RECORD_HEADER_BYTES - 4)?) {
         return None;
     }
-    Some(Record { sequence, key: u64::from_le_bytes(bytes(from, 13)?), does, payload })
+    Some(Record { sequence, key: u64::from_le_bytes(array_at(input, 13)?), operation, payload })
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,14 +1,21 @@
-//! A durable log of what a process owes, in bounded room. `docs/design/recovery.md` says what is promised.
+//! A durable log of key states that stays within a fixed amount of disk space.
 //!
-//! `frame` and `scan` are the format, `survey` reads a folder of it and tells damage apart; `log` keeps segments and cleans
-//! them; `quarantine` sets damaged bytes aside; `files` is all that is done on disk, with `disk` the real one and `sim`
-//! one that loses power and breaks.
-mod accounts;
+//! A record puts, merges into or deletes the state of one key. Deleted keys make room: old segments are
+//! removed once no live key begins in them. `docs/design/recovery.md` describes the guarantees.
+//!
+//! - [`frame`]: the byte format of segments and records.
+//! - [`segment_scan`]: reads the records of one segment and finds damaged byte ranges.
+//! - [`folder_scan`]: reads a whole folder without changing it and classifies the damage.
+//! - [`log`]: appends records, syncs them, and cleans segments.
+//! - [`quarantine`]: copies damaged bytes to files of their own.
+//! - [`file_system`]: the file operations that the log uses; [`disk`] implements them on a real disk, [`sim`]
+//!   in memory, with power loss and fault injection.
 pub mod disk;
-pub mod files;
+pub mod file_system;
+pub mod folder_scan;
 pub mod frame;
 pub mod log;
 pub mod quarantine;
-pub mod scan;
+mod segment_index;
+pub mod segment_scan;
 pub mod sim;
-pub mod survey;
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -1,477 +1,533 @@
-//! The log: segments, their cleaning, and what becomes durable when.
-use crate::accounts::{Accounts, BLOCK};
-use crate::files::{Append, Files};
-use crate::frame::{self, Does, Record, FRAME, HEADER, OWNER, PAYLOAD, VERSION};
-use crate::quarantine::{set_aside, Aside};
-use crate::survey::{segment_name, Damage, Manifest, OpenError, Survey, MANIFEST, MANIFEST_NEW};
+//! The log: appends records to segments, syncs them, and cleans old segments to stay within a limit.
+use crate::file_system::{AppendFile, FileSystem};
+use crate::folder_scan::{segment_name, Damage, FolderScan, Manifest, OpenError, MANIFEST, MANIFEST_NEW};
+use crate::frame::{
+    self, Operation, Record, FORMAT_VERSION, MAX_OWNER_BYTES, MAX_PAYLOAD_BYTES, RECORD_HEADER_BYTES,
+    SEGMENT_HEADER_BYTES,
+};
+use crate::quarantine::{quarantine_damage, Quarantine};
+use crate::segment_index::{SegmentIndex, BLOCK_BYTES};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 
-/// A segment's part of the limit.
-const PARTS: u64 = 16;
-/// Part of the limit for bytes set aside from damaged places.
-const ASIDE: u64 = 32;
-/// Room for the manifest, twice while it is written anew.
-const MANIFESTS: u64 = 2 * BLOCK;
+/// A segment takes up to this fraction (1/16) of the limit.
+const SEGMENTS_PER_LIMIT: u64 = 16;
+/// Quarantined bytes take up to this fraction (1/32) of the limit.
+const QUARANTINES_PER_LIMIT: u64 = 32;
+/// Space reserved for the manifest: two files exist while it is replaced.
+const MANIFEST_BYTES: u64 = 2 * BLOCK_BYTES;
 
+/// Settings of a log.
 #[derive(Clone, Debug)]
-pub struct Config {
-    /// Whose folder it is; another owner's is refused. 64 bytes at most.
+pub struct LogConfig {
+    /// Name of the folder's owner, of 64 bytes at most. The folder of another owner is refused.
     pub owner: String,
-    /// Bytes that all files may take, each in whole blocks.
-    pub limit: u64,
-    /// Bytes of the longest payload that is appended; 256 KiB at most.
-    pub largest: usize,
-    /// Whether names and what cleaning moves are synced, so that a loss of power costs nothing that was synced.
+    /// Most disk space of all files together, each counted in whole blocks.
+    pub max_bytes: u64,
+    /// Longest payload that may be appended, 256 KiB at most.
+    pub max_payload_bytes: usize,
+    /// Whether the log syncs the folder and the records that cleaning moves, so that nothing synced is lost
+    /// with the power.
     pub durable: bool,
 }
 
-/// What was found at the start.
+/// What was found when the log was opened.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Found {
+pub struct OpenReport {
+    /// Number of records that were read.
     pub records: usize,
+    /// Damage that was found.
     pub damage: Vec<Damage>,
-    pub aside: Aside,
+    /// Damaged bytes that were copied to files of their own.
+    pub quarantine: Quarantine,
 }
 
-/// All that is known of a key, as one payload; none where nothing is owed for it.
-pub trait Images {
-    fn image(&self, key: u64) -> Option<Vec<u8>>;
+/// Provides the current state of keys, for records that are written again in another segment.
+pub trait SnapshotSource {
+    /// The whole state of a key as the payload of one [`Operation::Put`]; `None` if the key is not live.
+    fn snapshot(&self, key: u64) -> Option<Vec<u8>>;
 }
 
 /// One record to append.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry<'a> {
     pub key: u64,
-    pub does: Does,
+    pub operation: Operation,
     pub payload: &'a [u8],
 }
 
-/// What has been appended and is not known to be durable, for any thread to see to.
-pub struct Unsynced<F> {
+/// Appended records that are not durable yet. They can be synced on any thread.
+pub struct PendingSync<F> {
     file: F,
-    upto: u64,
+    /// First sequence number that is not covered by the sync.
+    end_sequence: u64,
 }
 
-impl<F: Append> Unsynced<F> {
-    /// Waits until it is on disk. [`Log::synced`] has to hear what came of it.
+impl<F: AppendFile> PendingSync<F> {
+    /// Syncs the records. The result has to be passed to [`Log::finish_sync`].
     pub fn sync(&mut self) -> io::Result<()> {
         self.file.sync()
     }
 }
 
-/// What a log has done since it was opened.
+/// Counts of what a log has done since it was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Work {
-    /// Bytes written to segments, and those of them that cleaning moved.
-    pub written: u64,
-    pub moved: u64,
-    /// Segments that were cleaned or let go.
-    pub released: u64,
+pub struct LogStats {
+    /// Bytes of records written to segments.
+    pub written_bytes: u64,
+    /// Part of them that cleaning moved from old segments.
+    pub moved_bytes: u64,
+    /// Segments removed.
+    pub removed_segments: u64,
+    /// Syncs of segments.
     pub syncs: u64,
 }
 
-pub struct Log<F: Files> {
+/// A log in a folder.
+pub struct Log<F: FileSystem> {
     files: F,
-    config: Config,
+    config: LogConfig,
     segment_size: u64,
-    accounts: Accounts,
-    /// The segment that is written to, by number.
+    index: SegmentIndex,
+    /// Number and file of the segment that is appended to.
     current: Option<(u64, F::File)>,
-    /// Numbers of the next segment and the next record.
+    /// Number of the next segment.
     next_segment: u64,
-    next: u64,
-    /// The first record that is not known to be synced.
-    unsynced: u64,
-    /// Keys that ended among those, with the sequence number of it, where syncs matter.
-    ended: BTreeMap<u64, u64>,
-    /// A write or a sync has failed: what is not synced has to be written anew elsewhere.
-    doubt: bool,
-    /// Bytes that damaged places take which were set aside.
-    aside: u64,
-    work: Work,
+    /// Sequence number of the next record.
+    next_sequence: u64,
+    /// Sequence number of the first record that is not known to be synced.
+    first_unsynced: u64,
+    /// Keys deleted by unsynced records, with the sequence number of the deletion; empty unless `durable`.
+    unsynced_deletes: BTreeMap<u64, u64>,
+    /// Whether a write or a sync has failed, so that unsynced records have to be written again to a new
+    /// segment.
+    needs_rewrite: bool,
+    /// Disk space of the quarantine files.
+    quarantine_bytes: u64,
+    stats: LogStats,
 }
 
-fn full() -> io::Error {
+fn storage_full() -> io::Error {
     io::Error::new(io::ErrorKind::StorageFull, "the log has no room")
 }
 
-impl<F: Files> Log<F> {
-    /// Reads what is there, in order, and cuts off what a crash has left torn. Files that are refused are not changed,
-    /// nor are any where `read` can't make sense of a record.
+impl<F: FileSystem> Log<F> {
+    /// Opens a folder: calls `read` with each record in order, cuts off a torn tail, and quarantines damaged
+    /// bytes.
+    ///
+    /// No file is changed if the folder is refused or `read` rejects a record.
     pub fn open(
         files: F,
-        config: Config,
+        config: LogConfig,
         mut read: impl FnMut(Record) -> Result<(), String>,
-    ) -> Result<(Log<F>, Found), OpenError> {
-        if config.owner.len() > OWNER {
-            return Err(OpenError::Owner(config.owner));
+    ) -> Result<(Log<F>, OpenReport), OpenError> {
+        if config.owner.len() > MAX_OWNER_BYTES {
+            return Err(OpenError::OwnerTooLong(config.owner));
         }
-        let mut accounts = Accounts::default();
-        let survey = Survey::read(&files, Some(&config.owner), |segment, record| {
-            accounts.enter(segment, &record);
+        let mut index = SegmentIndex::default();
+        let scan = FolderScan::read(&files, Some(&config.owner), |segment, record| {
+            index.apply(segment, &record);
             read(record)
         })?;
-        // All has been read: from here on files change.
-        survey.segments.iter().for_each(|(number, length)| accounts.set_length(*number, *length));
-        let aside = set_aside(&files, &survey.damage, config.limit / ASIDE)?;
-        match survey.torn {
+        // Files are only changed after all records were accepted.
+        scan.segments.iter().for_each(|(number, length)| index.set_length(*number, *length));
+        let quarantine = quarantine_damage(&files, &scan.damage, config.max_bytes / QUARANTINES_PER_LIMIT)?;
+        match scan.torn {
             Some((number, 0)) => files.remove(&segment_name(number))?,
-            Some((number, at)) => files.cut(&segment_name(number), at)?,
+            Some((number, at)) => files.truncate(&segment_name(number), at)?,
             None => {}
         }
-        for number in &survey.stale {
+        for number in &scan.stale {
             files.remove(&segment_name(*number))?;
         }
-        if survey.manifest_new {
+        if scan.manifest_new {
             files.remove(MANIFEST_NEW)?;
         }
-        let segment_size = (config.limit / PARTS / BLOCK * BLOCK).max(4 * BLOCK);
+        let segment_size =
+            (config.max_bytes / SEGMENTS_PER_LIMIT / BLOCK_BYTES * BLOCK_BYTES).max(4 * BLOCK_BYTES);
         let mut log = Log {
             files,
             config,
             segment_size,
-            accounts,
+            index,
             current: None,
-            next_segment: survey.next_segment,
-            next: survey.next,
-            unsynced: survey.next,
-            ended: BTreeMap::new(),
-            doubt: false,
-            aside: aside.room,
-            work: Work::default(),
+            next_segment: scan.next_segment,
+            next_sequence: scan.next_sequence,
+            first_unsynced: scan.next_sequence,
+            unsynced_deletes: BTreeMap::new(),
+            needs_rewrite: false,
+            quarantine_bytes: quarantine.bytes,
+            stats: LogStats::default(),
         };
-        if survey.first.is_none() {
-            let first = survey.segments.first().map_or(log.next_segment, |(number, _)| *number);
-            log.write_manifest(first)?;
+        if scan.first_segment.is_none() {
+            let first_segment = scan.segments.first().map_or(log.next_segment, |(number, _)| *number);
+            log.write_manifest(first_segment)?;
         }
-        Ok((log, Found { records: survey.records, damage: survey.damage, aside }))
+        Ok((log, OpenReport { records: scan.records, damage: scan.damage, quarantine }))
     }
 
-    /// Bytes that the files take, in whole blocks.
-    pub fn used(&self) -> u64 {
-        MANIFESTS + self.aside + self.accounts.room()
+    /// Disk space of all files, in whole blocks.
+    pub fn used_bytes(&self) -> u64 {
+        MANIFEST_BYTES + self.quarantine_bytes + self.index.allocated_bytes()
     }
 
-    /// Bytes of all that lives, as it was written.
-    pub fn living(&self) -> u64 {
-        self.accounts.live.values().map(|l| l.bytes).sum()
+    /// Length of all records of live keys, as they were written.
+    pub fn live_bytes(&self) -> u64 {
+        self.index.live.values().map(|l| l.bytes).sum()
     }
 
-    pub fn work(&self) -> Work {
-        self.work
+    /// What the log has done since it was opened.
+    pub fn stats(&self) -> LogStats {
+        self.stats
     }
 
-    /// Writes records, whole or not at all as far as their fate is known; durable after the next [`Log::sync`].
+    /// Appends records. They are durable after the next successful [`Log::sync`].
     ///
-    /// `images` are those before these records. An error leaves all as it was, but for what a crash would leave.
-    pub fn append(&mut self, entries: &[Entry], images: &impl Images) -> io::Result<()> {
-        let largest = self.config.largest.min(PAYLOAD);
-        if entries.iter().any(|e| e.payload.len() > largest) {
+    /// `snapshots` has the state of keys without these records. After an error the records count as not
+    /// written; after a crash some of them may be found all the same.
+    pub fn append(&mut self, entries: &[Entry], snapshots: &impl SnapshotSource) -> io::Result<()> {
+        let max_payload_bytes = self.config.max_payload_bytes.min(MAX_PAYLOAD_BYTES);
+        if entries.iter().any(|e| e.payload.len() > max_payload_bytes) {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
-                "a record is longer than a payload may be",
+                "the payload of a record is longer than allowed",
             ));
         }
-        if self.doubt {
-            self.settle(images)?;
+        if self.needs_rewrite {
+            self.rewrite_unsynced(snapshots)?;
         }
-        let need: u64 = entries.iter().map(|e| (FRAME + e.payload.len()) as u64).sum();
-        let begins = entries.iter().any(|e| e.does == Does::Begin);
-        self.make_room(need, begins, images)?;
-        let from = self.next_segment;
-        self.put(entries).inspect_err(|_| {
-            self.doubt = true;
-            self.drop_segments(from, |records| records == 0);
+        let bytes_needed: u64 = entries.iter().map(|e| (RECORD_HEADER_BYTES + e.payload.len()) as u64).sum();
+        let has_puts = entries.iter().any(|e| e.operation == Operation::Put);
+        self.make_room(bytes_needed, has_puts, snapshots)?;
+        let first_new = self.next_segment;
+        self.write_entries(entries).inspect_err(|_| {
+            self.needs_rewrite = true;
+            self.remove_segments_from(first_new, |records| records == 0);
         })
     }
 
-    /// Removes segments from that number on that are of no use, so that a disk that goes on failing does not fill.
-    /// One that can't be removed goes on counting.
-    fn drop_segments(&mut self, from: u64, useless: impl Fn(u64) -> bool) {
+    /// Removes segments from a number on whose record count makes them useless, so that a disk on which
+    /// writes keep failing does not fill up. A segment that can't be removed still counts towards the limit.
+    fn remove_segments_from(&mut self, first: u64, is_useless: impl Fn(u64) -> bool) {
         self.current = None;
-        let segments = self.accounts.segments.range(from..).filter(|(_, s)| useless(s.records));
+        let segments = self.index.segments.range(first..).filter(|(_, s)| is_useless(s.records));
         for number in segments.map(|(n, _)| *n).collect::<Vec<_>>() {
             if self.files.remove(&segment_name(number)).is_ok() {
-                self.accounts.segments.remove(&number);
+                self.index.segments.remove(&number);
             }
         }
     }
 
-    /// Makes all that was appended durable. After an error nothing of it counts as durable before it has succeeded.
-    pub fn sync(&mut self, images: &impl Images) -> io::Result<()> {
-        match self.begin_sync(images)? {
-            Some(mut unsynced) => {
-                let result = unsynced.sync();
-                self.synced(&unsynced, result)
+    /// Syncs all appended records. After an error they don't count as durable until a later call succeeds.
+    pub fn sync(&mut self, snapshots: &impl SnapshotSource) -> io::Result<()> {
+        match self.begin_sync(snapshots)? {
+            Some(mut pending) => {
+                let result = pending.sync();
+                self.finish_sync(&pending, result)
             }
             None => Ok(()),
         }
     }
 
-    /// What there is to sync, for another thread. Nothing may be appended before [`Log::synced`] was told of its end.
-    pub fn begin_sync(&mut self, images: &impl Images) -> io::Result<Option<Unsynced<F::File>>> {
-        if self.doubt {
-            self.settle(images)?;
+    /// Begins a sync that can run on another thread; `None` if everything is synced. Nothing may be appended
+    /// until its result was passed to [`Log::finish_sync`].
+    pub fn begin_sync(
+        &mut self,
+        snapshots: &impl SnapshotSource,
+    ) -> io::Result<Option<PendingSync<F::File>>> {
+        if self.needs_rewrite {
+            self.rewrite_unsynced(snapshots)?;
         }
         match &self.current {
-            Some((_, file)) if self.unsynced < self.next => {
-                Ok(Some(Unsynced { file: file.another()?, upto: self.next }))
+            Some((_, file)) if self.first_unsynced < self.next_sequence => {
+                Ok(Some(PendingSync { file: file.duplicate_handle()?, end_sequence: self.next_sequence }))
             }
             _ => Ok(None),
         }
     }
 
-    /// What came of a sync.
-    pub fn synced(&mut self, unsynced: &Unsynced<F::File>, result: io::Result<()>) -> io::Result<()> {
-        self.work.syncs += 1;
+    /// Takes the result of a sync.
+    pub fn finish_sync(&mut self, pending: &PendingSync<F::File>, result: io::Result<()>) -> io::Result<()> {
+        self.stats.syncs += 1;
         match result {
             Ok(()) => {
-                self.unsynced = self.unsynced.max(unsynced.upto);
-                self.ended.retain(|_, sequence| *sequence >= unsynced.upto);
+                self.first_unsynced = self.first_unsynced.max(pending.end_sequence);
+                self.unsynced_deletes.retain(|_, sequence| *sequence >= pending.end_sequence);
                 Ok(())
             }
             Err(error) => {
-                // The pages may be dropped and yet count as clean: no later sync of this file says anything.
-                self.doubt = true;
+                // The kernel may have dropped the dirty pages and marked them clean, so a later sync of this
+                // file that succeeds proves nothing.
+                self.needs_rewrite = true;
                 Err(error)
             }
         }
     }
 
+    /// Syncs the current segment on this thread.
     fn sync_current(&mut self) -> io::Result<()> {
         if let Some((_, file)) = &mut self.current {
-            self.work.syncs += 1;
+            self.stats.syncs += 1;
             if let Err(error) = file.sync() {
-                self.doubt = true;
+                self.needs_rewrite = true;
                 return Err(error);
             }
         }
-        self.unsynced = self.next;
-        self.ended.clear();
+        self.first_unsynced = self.next_sequence;
+        self.unsynced_deletes.clear();
         Ok(())
     }
 
-    /// Writes what is not known to be synced anew, to a segment of its own.
+    /// Writes everything that is not known to be synced again, to a new segment.
     ///
-    /// Where syncs don't matter, what was written before the call that failed stands in the files all the same, and
-    /// only keys that came of that call are in doubt.
-    fn settle(&mut self, images: &impl Images) -> io::Result<()> {
+    /// If the log is not `durable`, the records from before the failed call are still in the files, and only
+    /// the keys that the failed call put are deleted.
+    fn rewrite_unsynced(&mut self, snapshots: &impl SnapshotSource) -> io::Result<()> {
         self.current = None;
-        let mut again: Vec<(u64, Vec<u8>)> = Vec::new();
-        let mut ends: Vec<u64> = self.ended.keys().copied().collect();
-        for (key, live) in &self.accounts.live {
-            match images.image(*key) {
-                Some(image) if self.config.durable && live.sequence >= self.unsynced => {
-                    again.push((*key, image))
+        let mut puts: Vec<(u64, Vec<u8>)> = Vec::new();
+        let mut deletes: Vec<u64> = self.unsynced_deletes.keys().copied().collect();
+        for (key, live) in &self.index.live {
+            match snapshots.snapshot(*key) {
+                Some(snapshot) if self.config.durable && live.last_sequence >= self.first_unsynced => {
+                    puts.push((*key, snapshot))
                 }
                 Some(_) => {}
-                // Its user does not know it: the call that wrote it has failed.
-                None => ends.push(*key),
+                // The caller does not know the key, as the call that put it has failed.
+                None => deletes.push(*key),
             }
         }
-        let begins = again.iter().map(|(key, image)| Entry { key: *key, does: Does::Begin, payload: image });
-        let ends = ends.into_iter().map(|key| Entry { key, does: Does::End, payload: &[] });
-        // Ends first: a key that ended and began anew lives.
-        let entries: Vec<Entry> = ends.chain(begins).collect();
-        let need: u64 = entries.iter().map(|e| (FRAME + e.payload.len()) as u64).sum();
-        // Nothing can be let go before this is written, and the limit holds all the same.
-        self.fits(need)?;
-        let (segment, sequence) = (self.next_segment, self.next);
-        let result = self.put(&entries).and_then(|()| match &mut self.current {
+        let puts = puts.iter().map(|(key, snapshot)| Entry {
+            key: *key,
+            operation: Operation::Put,
+            payload: snapshot,
+        });
+        let deletes =
+            deletes.into_iter().map(|key| Entry { key, operation: Operation::Delete, payload: &[] });
+        // Deletes come first, so that a key that was deleted and put again stays live.
+        let entries: Vec<Entry> = deletes.chain(puts).collect();
+        let bytes_needed: u64 = entries.iter().map(|e| (RECORD_HEADER_BYTES + e.payload.len()) as u64).sum();
+        // No segment can be removed before this is written, and the limit holds nevertheless.
+        self.check_room(bytes_needed)?;
+        let (segment, sequence) = (self.next_segment, self.next_sequence);
+        let result = self.write_entries(&entries).and_then(|()| match &mut self.current {
             Some((_, file)) if self.config.durable => {
-                self.work.syncs += 1;
+                self.stats.syncs += 1;
                 file.sync()
             }
             _ => Ok(()),
         });
         match result {
-            Ok(()) => self.doubt = false,
-            // The next try writes all of it again, under the same numbers: should a file that was removed be back
-            // after a loss of power, what comes later bounds it.
+            Ok(()) => self.needs_rewrite = false,
+            // The next try writes everything again under the same sequence numbers. Should a removed file
+            // reappear after a loss of power, the first sequence number of the later segment shows where its
+            // records stop counting.
             Err(_) => {
-                self.drop_segments(segment, |_| true);
-                self.next = sequence;
+                self.remove_segments_from(segment, |_| true);
+                self.next_sequence = sequence;
             }
         }
         result
     }
 
-    /// Bytes of headers and blocks begun by what is written.
-    fn around(&self, need: u64) -> u64 {
-        (need / self.segment_size + 2) * (HEADER as u64 + BLOCK)
+    /// Bytes that headers and partly filled blocks add to `bytes_needed`, at most.
+    fn overhead(&self, bytes_needed: u64) -> u64 {
+        (bytes_needed / self.segment_size + 2) * (SEGMENT_HEADER_BYTES as u64 + BLOCK_BYTES)
     }
 
-    fn fits(&self, need: u64) -> io::Result<()> {
-        let segments = need / self.segment_size + 1;
-        match self.used() + need + segments * HEADER as u64 + (segments + 1) * BLOCK <= self.config.limit {
+    /// Fails if `bytes_needed` more bytes don't fit within the limit.
+    fn check_room(&self, bytes_needed: u64) -> io::Result<()> {
+        let segments = bytes_needed / self.segment_size + 1;
+        match self.used_bytes()
+            + bytes_needed
+            + segments * SEGMENT_HEADER_BYTES as u64
+            + (segments + 1) * BLOCK_BYTES
+            <= self.config.max_bytes
+        {
             true => Ok(()),
-            false => Err(full()),
+            false => Err(storage_full()),
         }
     }
 
-    /// Lets go of segments until `need` more bytes fit, with room left to clean the next one. That room is for what
-    /// ends: nothing begins in it.
-    fn make_room(&mut self, need: u64, begins: bool, images: &impl Images) -> io::Result<()> {
-        // Each is cleaned once at most: where so much lives that this makes no room, going round makes none either.
-        let last = self.next_segment;
+    /// Cleans and removes segments until `bytes_needed` more bytes fit and room to clean the next segment is
+    /// left.
+    ///
+    /// Records may use that reserve only if no key is put with them, so that keys can always be deleted.
+    fn make_room(
+        &mut self,
+        bytes_needed: u64,
+        has_puts: bool,
+        snapshots: &impl SnapshotSource,
+    ) -> io::Result<()> {
+        // Each segment is cleaned once at most: if too much is live to make room, another round makes none
+        // either.
+        let end = self.next_segment;
         loop {
-            self.release()?;
-            let Some((number, oldest)) = self.accounts.oldest() else { break };
-            let out = oldest.out;
-            let around = self.around(need);
-            let reserve = out.max(self.segment_size) + self.segment_size;
-            if self.used() + need + around + reserve <= self.config.limit {
+            self.remove_dead_segments()?;
+            let Some((number, oldest)) = self.index.oldest() else { break };
+            let live_bytes = oldest.live_bytes;
+            let overhead = self.overhead(bytes_needed);
+            let reserve = live_bytes.max(self.segment_size) + self.segment_size;
+            if self.used_bytes() + bytes_needed + overhead + reserve <= self.config.max_bytes {
                 return Ok(());
             }
             let is_current = self.current.as_ref().is_some_and(|(n, _)| *n == number);
-            if is_current || number >= last || self.used() + out + around > self.config.limit {
+            if is_current
+                || number >= end
+                || self.used_bytes() + live_bytes + overhead > self.config.max_bytes
+            {
                 break;
             }
-            let keys: Vec<u64> = oldest.keys.iter().copied().collect();
-            self.clean(&keys, images)?;
+            let keys: Vec<u64> = oldest.live_keys.iter().copied().collect();
+            self.move_keys(&keys, snapshots)?;
         }
-        match begins {
-            true if !self.accounts.segments.is_empty() => Err(full()),
-            _ => self.fits(need),
+        match has_puts {
+            true if !self.index.segments.is_empty() => Err(storage_full()),
+            _ => self.check_room(bytes_needed),
         }
     }
 
-    /// Writes the images of keys that begin in the oldest segment anew, after which nothing in it counts.
-    fn clean(&mut self, keys: &[u64], images: &impl Images) -> io::Result<()> {
-        let again: Vec<(u64, Vec<u8>)> = keys.iter().filter_map(|k| Some((*k, images.image(*k)?))).collect();
-        // A key that its user no longer knows is owed nothing.
-        let known: BTreeSet<u64> = again.iter().map(|(key, _)| *key).collect();
-        keys.iter().filter(|key| !known.contains(key)).for_each(|key| self.accounts.leave(*key));
-        let entries: Vec<Entry> =
-            again.iter().map(|(key, image)| Entry { key: *key, does: Does::Begin, payload: image }).collect();
-        let before = self.work.written;
-        self.put(&entries)?;
-        self.work.moved += self.work.written - before;
+    /// Writes the snapshots of keys that begin in the oldest segment again, after which no live key begins in
+    /// it.
+    fn move_keys(&mut self, keys: &[u64], snapshots: &impl SnapshotSource) -> io::Result<()> {
+        let puts: Vec<(u64, Vec<u8>)> =
+            keys.iter().filter_map(|k| Some((*k, snapshots.snapshot(*k)?))).collect();
+        // A key that the caller no longer knows counts as deleted.
+        let known: BTreeSet<u64> = puts.iter().map(|(key, _)| *key).collect();
+        keys.iter().filter(|key| !known.contains(key)).for_each(|key| self.index.remove_key(*key));
+        let entries: Vec<Entry> = puts
+            .iter()
+            .map(|(key, snapshot)| Entry { key: *key, operation: Operation::Put, payload: snapshot })
+            .collect();
+        let before = self.stats.written_bytes;
+        self.write_entries(&entries)?;
+        self.stats.moved_bytes += self.stats.written_bytes - before;
         Ok(())
     }
 
-    /// Removes the oldest segments in which no key begins.
-    fn release(&mut self) -> io::Result<()> {
-        let free = self.accounts.free(self.current.as_ref().map(|(n, _)| *n));
-        let Some(last) = free.last() else { return Ok(()) };
+    /// Removes the oldest segments, as far as no live key begins in them.
+    fn remove_dead_segments(&mut self) -> io::Result<()> {
+        let dead = self.index.removable(self.current.as_ref().map(|(n, _)| *n));
+        let Some(last) = dead.last() else { return Ok(()) };
         if self.config.durable {
-            // Ends and images that let them go have to outlast them.
+            // The deletions and moved records that made them removable have to be durable first.
             self.sync_current()?;
         }
         self.write_manifest(last + 1)?;
-        for number in free {
+        for number in dead {
             self.files.remove(&segment_name(number))?;
-            self.accounts.segments.remove(&number);
-            self.work.released += 1;
+            self.index.segments.remove(&number);
+            self.stats.removed_segments += 1;
         }
         Ok(())
     }
 
-    fn write_manifest(&mut self, first: u64) -> io::Result<()> {
-        let manifest = Manifest { format: VERSION.into(), owner: self.config.owner.clone(), first };
+    /// Replaces the manifest. Segments before `first_segment` no longer count.
+    fn write_manifest(&mut self, first_segment: u64) -> io::Result<()> {
+        let manifest =
+            Manifest { format: FORMAT_VERSION.into(), owner: self.config.owner.clone(), first_segment };
         let mut file = self.files.create(MANIFEST_NEW)?;
         file.append(&serde_json::to_vec(&manifest)?)?;
         if self.config.durable {
             file.sync()?;
         }
         self.files.rename(MANIFEST_NEW, MANIFEST)?;
-        self.sync_names()
+        self.sync_directory()
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         match self.config.durable {
-            true => self.files.sync_names(),
+            true => self.files.sync_directory(),
             false => Ok(()),
         }
     }
 
-    /// Writes records to the current segment, and to new ones as each is full.
-    fn put(&mut self, entries: &[Entry]) -> io::Result<()> {
+    /// Writes records to the current segment, and begins a new one whenever it is full.
+    fn write_entries(&mut self, entries: &[Entry]) -> io::Result<()> {
         let mut rest = entries;
         while !rest.is_empty() {
-            let length = self.current.as_ref().map(|(n, _)| self.accounts.length(*n));
+            let length = self.current.as_ref().map(|(n, _)| self.index.length(*n));
             let mut room = length.map_or(0, |l| self.segment_size.saturating_sub(l));
-            if length == Some(HEADER as u64) {
-                // One that is longer than a segment has one of its own.
-                room = room.max((FRAME + rest[0].payload.len()) as u64);
+            if length == Some(SEGMENT_HEADER_BYTES as u64) {
+                // A record that is longer than a segment gets a segment of its own.
+                room = room.max((RECORD_HEADER_BYTES + rest[0].payload.len()) as u64);
             }
             let mut buffer = Vec::new();
             let mut records = Vec::new();
             for entry in rest {
                 let record = Record {
-                    sequence: self.next + records.len() as u64,
+                    sequence: self.next_sequence + records.len() as u64,
                     key: entry.key,
-                    does: entry.does,
+                    operation: entry.operation,
                     payload: entry.payload,
                 };
-                if (buffer.len() + record.length()) as u64 > room {
+                if (buffer.len() + record.encoded_len()) as u64 > room {
                     break;
                 }
-                frame::encode(&mut buffer, &record);
+                frame::encode_record(&mut buffer, &record);
                 records.push(record);
             }
             if records.is_empty() {
-                self.roll()?;
+                self.begin_segment()?;
                 continue;
             }
             self.write(&buffer)?;
             if let Some(number) = self.current.as_ref().map(|(n, _)| *n) {
-                records.iter().for_each(|r| self.enter(number, r));
+                records.iter().for_each(|r| self.note_written(number, r));
             }
             rest = &rest[records.len()..];
         }
         Ok(())
     }
 
-    /// Books a record that was written.
-    fn enter(&mut self, segment: u64, record: &Record) {
-        self.next = record.sequence + 1;
-        self.accounts.enter(segment, record);
-        if self.config.durable && record.does == Does::End {
-            self.ended.insert(record.key, record.sequence);
+    /// Updates the state of the log for a record that was written.
+    fn note_written(&mut self, segment: u64, record: &Record) {
+        self.next_sequence = record.sequence + 1;
+        self.index.apply(segment, record);
+        if self.config.durable && record.operation == Operation::Delete {
+            self.unsynced_deletes.insert(record.key, record.sequence);
         }
     }
 
+    /// Appends encoded records to the current segment.
     fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         let Some((number, file)) = &mut self.current else { return Err(io::ErrorKind::NotFound.into()) };
         let number = *number;
         if let Err(error) = file.append(bytes) {
-            // What came of it is unknown. The segment is left, and its records are told from those of the next by
-            // their sequence numbers.
-            self.doubt = true;
-            let length = self.accounts.length(number);
-            // Should this fail too, the tail counts for nothing all the same, and takes its room until it is cleaned.
-            if self.files.cut(&segment_name(number), length).is_err() {
-                self.accounts.grow(number, bytes.len() as u64);
+            // How much was written is unknown. The segment gets no more records; the first sequence number of
+            // the next one shows which of its records count.
+            self.needs_rewrite = true;
+            let length = self.index.length(number);
+            // If this fails too, the tail is still ignored, and takes space until the segment is removed.
+            if self.files.truncate(&segment_name(number), length).is_err() {
+                self.index.grow(number, bytes.len() as u64);
             }
             self.current = None;
             return Err(error);
         }
-        self.accounts.grow(number, bytes.len() as u64);
-        self.work.written += bytes.len() as u64;
+        self.index.grow(number, bytes.len() as u64);
+        self.stats.written_bytes += bytes.len() as u64;
         Ok(())
     }
 
     /// Begins a new segment.
-    fn roll(&mut self) -> io::Result<()> {
+    fn begin_segment(&mut self) -> io::Result<()> {
         if self.config.durable && self.current.is_some() {
-            // So that only the last segment can be torn.
+            // Only the last segment may have a torn tail.
             self.sync_current()?;
         }
         let number = self.next_segment;
         self.next_segment += 1;
-        // Whatever comes of the new one, nothing more goes to the one before: the new one's header may be read, and
-        // it says where its records begin.
+        // Even if this fails, nothing more is appended to the old segment: the header of the new one may be
+        // found later, and records of the old one with its sequence numbers would not count.
         self.current = None;
         let mut file = self.files.create(&segment_name(number))?;
-        // From here on it takes room, whatever comes of it.
-        self.accounts.set_length(number, HEADER as u64);
-        file.append(&frame::encode_header(&self.config.owner, number, self.next))?;
+        // From here on the file takes space, even if the next steps fail.
+        self.index.set_length(number, SEGMENT_HEADER_BYTES as u64);
+        file.append(&frame::encode_header(&self.config.owner, number, self.next_sequence))?;
         if self.config.durable {
             file.sync()?;
         }
-        self.sync_names()?;
+        self.sync_directory()?;
         self.current = Some((number, file));
         Ok(())
     }
--- a/crates/store/src/quarantine.rs
+++ b/crates/store/src/quarantine.rs
@@ -1,59 +1,62 @@
-//! Bytes of damaged places, set aside for those who look into it before cleaning removes their segment.
-use crate::accounts::room;
-use crate::files::{Append, Files};
-use crate::survey::{segment_name, Damage};
+//! Copies damaged byte ranges to files of their own, so that they can be examined after cleaning has removed
+//! their segment.
+use crate::file_system::{AppendFile, FileSystem};
+use crate::folder_scan::{segment_name, Damage};
+use crate::segment_index::allocated_bytes;
 use std::io;
 
-const PREFIX: &str = "damaged-";
+const FILE_PREFIX: &str = "damaged-";
 
-/// What was set aside.
+/// What was quarantined.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Aside {
-    /// Files written now.
+pub struct Quarantine {
+    /// Files written by this call.
     pub files: Vec<String>,
-    /// Damaged places for which there was no room, or whose bytes could not be written.
-    pub left: usize,
-    /// Bytes that all such files take, those of earlier starts included.
-    pub room: u64,
+    /// Damaged ranges that were not copied, because they exceed the limit or writing failed.
+    pub skipped: usize,
+    /// Disk space of all quarantine files, including those of earlier starts.
+    pub bytes: u64,
 }
 
-/// Sets aside what is not there yet, in `limit` bytes together with what is.
+/// Copies damaged ranges that were not copied before, as far as all quarantine files together stay within
+/// `limit` bytes.
 ///
-/// No failure here keeps a log from being opened: the damage is told in any case.
-pub fn set_aside(files: &impl Files, damage: &[Damage], limit: u64) -> io::Result<Aside> {
-    let mut aside = Aside::default();
-    let names: Vec<String> = files.names()?.into_iter().filter(|n| n.starts_with(PREFIX)).collect();
+/// A failed copy counts as skipped and does not keep a log from being opened: the damage is reported in any
+/// case.
+pub fn quarantine_damage(files: &impl FileSystem, damage: &[Damage], limit: u64) -> io::Result<Quarantine> {
+    let mut quarantine = Quarantine::default();
+    let names: Vec<String> = files.file_names()?.into_iter().filter(|n| n.starts_with(FILE_PREFIX)).collect();
     for name in &names {
-        aside.room += room(files.read(name)?.len() as u64);
+        quarantine.bytes += allocated_bytes(files.read(name)?.len() as u64);
     }
-    for (segment, range) in damage.iter().filter_map(Damage::place) {
-        let name = format!("{PREFIX}{}-{:x}", segment_name(segment), range.start);
+    for (segment, range) in damage.iter().filter_map(Damage::byte_range) {
+        let name = format!("{FILE_PREFIX}{}-{:x}", segment_name(segment), range.start);
         let length = range.end - range.start;
         if names.contains(&name) {
             continue;
         }
-        if aside.room + room(length) > limit {
-            aside.left += 1;
+        if quarantine.bytes + allocated_bytes(length) > limit {
+            quarantine.skipped += 1;
             continue;
         }
         match copy(files, &segment_name(segment), range.start as usize..range.end as usize, &name) {
             Ok(()) => {
-                aside.room += room(length);
-                aside.files.push(name);
+                quarantine.bytes += allocated_bytes(length);
+                quarantine.files.push(name);
             }
             Err(_) => {
-                aside.left += 1;
-                // What is left of it is counted where it can't be removed.
+                quarantine.skipped += 1;
+                // A partial copy that can't be removed still takes space.
                 if files.remove(&name).is_err() {
-                    aside.room += room(length);
+                    quarantine.bytes += allocated_bytes(length);
                 }
             }
         }
     }
-    Ok(aside)
+    Ok(quarantine)
 }
 
-fn copy(files: &impl Files, from: &str, range: std::ops::Range<usize>, to: &str) -> io::Result<()> {
+fn copy(files: &impl FileSystem, from: &str, range: std::ops::Range<usize>, to: &str) -> io::Result<()> {
     let bytes = files.read(from)?;
     let range = range.start.min(bytes.len())..range.end.min(bytes.len());
     files.create(to)?.append(&bytes[range])
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,195 +1,209 @@
-//! A folder in memory that knows what would survive: for tests that take the power away or have calls fail.
+//! An in-memory folder that simulates loss of power and failing calls, for tests.
 //!
-//! What is appended is in the page cache until its file is synced; names are until the folder is. After a loss of
-//! power each change of a name since then holds or does not, in order; of unsynced data any length and any pages are
-//! left. A sync that fails leaves its pages lost and yet clean, so that a later one succeeds and keeps nothing of them.
-use crate::files::{Append, Files};
+//! Appended bytes are in the page cache until their file is synced, and changes of names until the folder is.
+//! After a loss of power, each unsynced change of a name holds or does not; changes that hold are applied in
+//! their order. Of unsynced data any length is left, and any of its pages may be zero. A sync that fails
+//! loses its pages but marks them clean, so that a later sync succeeds without keeping them.
+use crate::file_system::{AppendFile, FileSystem};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
 
-/// What survives of data, and what a loss within it is made of.
-const PAGE: usize = 4_096;
+/// Unit in which unsynced data is lost, in bytes.
+const PAGE_BYTES: usize = 4_096;
 
 #[derive(Clone, Debug, Default)]
 struct Inode {
     data: Vec<u8>,
-    /// Bytes from the start that survive.
+    /// Number of bytes from the start that are synced.
     durable: usize,
-    /// From here on a failed sync has lost what was not durable then, whatever came later.
-    lost: Option<usize>,
+    /// Offset from which on data does not survive, because a sync has failed there. Later syncs don't help.
+    lost_from: Option<usize>,
 }
 
+/// A change of the folder's names.
 #[derive(Clone, Debug)]
-enum Change {
+enum NameChange {
     Create(String, usize),
     Rename(String, String),
     Remove(String),
 }
 
 #[derive(Clone, Debug, Default)]
-struct State {
+struct FolderState {
     inodes: Vec<Inode>,
+    /// Index of each file's inode, by name.
     names: BTreeMap<String, usize>,
+    /// The names as of the last sync of the folder.
     durable_names: BTreeMap<String, usize>,
     /// Changes of names since then.
-    changes: Vec<Change>,
+    unsynced_changes: Vec<NameChange>,
+    /// Number of calls so far.
     calls: usize,
-    /// The number of the call that fails, and how.
-    fails: Option<(usize, Failure)>,
-    /// Every call fails from this one on: the power is gone.
-    stops: Option<usize>,
+    /// Number of the one call that fails, and how.
+    failing_call: Option<(usize, Failure)>,
+    /// Number of the call from which on every call fails, as if the power was lost.
+    power_lost_at: Option<usize>,
     /// Bytes appended so far.
-    written: u64,
-    /// What fails each time.
-    broken: Option<Part>,
-    /// Syncs that say that they are done and do nothing.
-    omits: Option<Sync>,
+    written_bytes: u64,
+    /// Kind of calls that always fail.
+    failing_kind: Option<CallKind>,
+    /// Kind of syncs that succeed without doing anything.
+    ignored_syncs: Option<SyncKind>,
 }
 
-/// Kinds of syncs.
+/// A kind of sync.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sync {
+pub enum SyncKind {
+    /// Syncs of files.
     Data,
-    Names,
+    /// Syncs of the folder.
+    Directory,
 }
 
+/// A kind of call that can be made to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
-    /// Files are created, and nothing can be written to them: the disk is full.
+pub enum CallKind {
+    /// Appends fail, as on a full disk; files can still be created.
     Appends,
+    /// Syncs of files fail.
     Syncs,
 }
 
+/// How a call fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// EIO: a write may have been done in part.
-    Broken,
-    /// ENOSPC: nothing or a part was written.
-    Full,
+    /// EIO; half of an append is written.
+    Io,
+    /// ENOSPC; half of an append is written, or nothing if all appends fail.
+    StorageFull,
 }
 
-/// Handles of one folder share it.
+/// A simulated folder. Clones share its state.
 #[derive(Clone, Debug, Default)]
 pub struct SimDisk {
-    state: Rc<RefCell<State>>,
+    state: Rc<RefCell<FolderState>>,
 }
 
+/// An open file of a [`SimDisk`].
 pub struct SimFile {
-    state: Rc<RefCell<State>>,
+    state: Rc<RefCell<FolderState>>,
     inode: usize,
 }
 
-impl State {
-    /// Counts a call; whether it is to fail.
-    fn call(&mut self) -> Result<(), Failure> {
+impl FolderState {
+    /// Counts a call, and fails if the call is to fail.
+    fn count_call(&mut self) -> Result<(), Failure> {
         self.calls += 1;
-        if self.stops.is_some_and(|at| self.calls >= at) {
-            return Err(Failure::Broken);
+        if self.power_lost_at.is_some_and(|at| self.calls >= at) {
+            return Err(Failure::Io);
         }
-        match self.fails {
+        match self.failing_call {
             Some((at, failure)) if at == self.calls => Err(failure),
             _ => Ok(()),
         }
     }
 
-    fn find(&self, name: &str) -> io::Result<usize> {
+    fn inode_of(&self, name: &str) -> io::Result<usize> {
         self.names.get(name).copied().ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    fn change(&mut self, change: Change) {
-        apply(&mut self.names, &change);
-        self.changes.push(change);
+    fn change_names(&mut self, change: NameChange) {
+        apply_change(&mut self.names, &change);
+        self.unsynced_changes.push(change);
     }
 }
 
-fn apply(names: &mut BTreeMap<String, usize>, change: &Change) {
+fn apply_change(names: &mut BTreeMap<String, usize>, change: &NameChange) {
     match change {
-        Change::Create(name, inode) => _ = names.insert(name.clone(), *inode),
-        Change::Rename(from, to) => {
+        NameChange::Create(name, inode) => _ = names.insert(name.clone(), *inode),
+        NameChange::Rename(from, to) => {
             if let Some(inode) = names.remove(from) {
                 names.insert(to.clone(), inode);
             }
         }
-        Change::Remove(name) => _ = names.remove(name),
+        NameChange::Remove(name) => _ = names.remove(name),
     }
 }
 
-fn error(failure: Failure) -> io::Error {
+fn io_error(failure: Failure) -> io::Error {
     match failure {
-        Failure::Broken => io::Error::other("simulated I/O error"),
-        Failure::Full => io::Error::new(io::ErrorKind::StorageFull, "simulated full disk"),
+        Failure::Io => io::Error::other("simulated I/O error"),
+        Failure::StorageFull => io::Error::new(io::ErrorKind::StorageFull, "simulated full disk"),
     }
 }
 
 impl SimDisk {
-    /// Calls so far, at all handles.
+    /// Number of calls so far, of all handles.
     pub fn calls(&self) -> usize {
         self.state.borrow().calls
     }
 
-    /// Bytes appended so far, at all handles.
-    pub fn written(&self) -> u64 {
-        self.state.borrow().written
+    /// Bytes appended so far, by all handles.
+    pub fn written_bytes(&self) -> u64 {
+        self.state.borrow().written_bytes
     }
 
-    /// The call of that number, counted from 1, fails.
-    pub fn fail(&self, call: usize, failure: Failure) {
-        self.state.borrow_mut().fails = Some((call, failure));
+    /// Makes one call fail, by its number counted from 1.
+    pub fn fail_call(&self, call: usize, failure: Failure) {
+        self.state.borrow_mut().failing_call = Some((call, failure));
     }
 
-    /// From that call on nothing is done any more.
-    pub fn stop(&self, call: usize) {
-        self.state.borrow_mut().stops = Some(call);
+    /// Makes all calls from a number on fail, as if the power was lost. An append at that call writes half of
+    /// its bytes.
+    pub fn lose_power_at(&self, call: usize) {
+        self.state.borrow_mut().power_lost_at = Some(call);
     }
 
-    /// That part of the work fails each time until [`SimDisk::mend`].
-    pub fn break_part(&self, part: Part) {
-        self.state.borrow_mut().broken = Some(part);
+    /// Makes all calls of a kind fail until [`SimDisk::clear_faults`].
+    pub fn fail_all(&self, kind: CallKind) {
+        self.state.borrow_mut().failing_kind = Some(kind);
     }
 
-    pub fn mend(&self) {
+    /// Ends [`SimDisk::fail_all`] and [`SimDisk::lose_power_at`].
+    pub fn clear_faults(&self) {
         let mut state = self.state.borrow_mut();
-        (state.broken, state.stops) = (None, None);
+        (state.failing_kind, state.power_lost_at) = (None, None);
     }
 
-    /// Syncs of that kind are omitted from now on, as by a log that forgets them.
-    pub fn omit(&self, syncs: Sync) {
-        self.state.borrow_mut().omits = Some(syncs);
+    /// Ignores all syncs of a kind from now on, to simulate a log that forgets them.
+    pub fn ignore_syncs(&self, kind: SyncKind) {
+        self.state.borrow_mut().ignored_syncs = Some(kind);
     }
 
-    /// The same folder on its own, as it is in the page cache: what a process finds after another has died.
-    pub fn after_death(&self) -> SimDisk {
+    /// A copy of the folder as it is in the page cache: what a process finds after the one before it has
+    /// crashed.
+    pub fn after_crash(&self) -> SimDisk {
         let state = self.state.borrow();
-        let left = State { calls: 0, fails: None, stops: None, ..state.clone() };
-        SimDisk { state: Rc::new(RefCell::new(left)) }
+        let copy = FolderState { calls: 0, failing_call: None, power_lost_at: None, ..state.clone() };
+        SimDisk { state: Rc::new(RefCell::new(copy)) }
     }
 
-    /// A folder as it may be found after the power was lost now.
+    /// A copy of the folder as it may be found after a loss of power at this moment.
     pub fn after_power_loss(&self, random: &mut fastrand::Rng) -> SimDisk {
         let state = self.state.borrow();
         let mut names = state.durable_names.clone();
-        for change in &state.changes {
+        for change in &state.unsynced_changes {
             if random.bool() {
-                apply(&mut names, change);
+                apply_change(&mut names, change);
             }
         }
         let mut inodes: Vec<Inode> = Vec::new();
         let names: BTreeMap<String, usize> = names
             .into_iter()
             .map(|(name, inode)| {
-                let data = survivor(&state.inodes[inode], random);
-                inodes.push(Inode { durable: data.len(), data, lost: None });
+                let data = surviving_data(&state.inodes[inode], random);
+                inodes.push(Inode { durable: data.len(), data, lost_from: None });
                 (name, inodes.len() - 1)
             })
             .collect();
-        let left = State { inodes, durable_names: names.clone(), names, ..State::default() };
-        SimDisk { state: Rc::new(RefCell::new(left)) }
+        let copy = FolderState { inodes, durable_names: names.clone(), names, ..FolderState::default() };
+        SimDisk { state: Rc::new(RefCell::new(copy)) }
     }
 
-    /// Changes bytes of a file where they lie, as a bad disk does.
-    pub fn damage(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
+    /// Changes the stored bytes of a file, as a faulty disk does.
+    pub fn corrupt(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
         let mut state = self.state.borrow_mut();
         if let Some(inode) = state.names.get(name).copied() {
             let inode = &mut state.inodes[inode];
@@ -199,9 +213,9 @@
     }
 }
 
-fn survivor(inode: &Inode, random: &mut fastrand::Rng) -> Vec<u8> {
+fn surviving_data(inode: &Inode, random: &mut fastrand::Rng) -> Vec<u8> {
     let durable = inode.durable.min(inode.data.len());
-    // Any length, and often all of it or none.
+    // Any length of the unsynced data survives, and often all of it or none.
     let length = match random.u8(..4) {
         0 => durable,
         1 => inode.data.len(),
@@ -210,8 +224,8 @@
     let mut data = inode.data[..length].to_vec();
     let mut page = durable;
     while page < length {
-        let end = ((page / PAGE + 1) * PAGE).min(length);
-        let lost = inode.lost.is_some_and(|from| page >= from);
+        let end = ((page / PAGE_BYTES + 1) * PAGE_BYTES).min(length);
+        let lost = inode.lost_from.is_some_and(|from| page >= from);
         if lost || random.u8(..4) == 0 {
             data[page..end].fill(0);
         }
@@ -220,23 +234,23 @@
     data
 }
 
-impl Files for SimDisk {
+impl FileSystem for SimDisk {
     type File = SimFile;
 
-    fn names(&self) -> io::Result<Vec<String>> {
+    fn file_names(&self) -> io::Result<Vec<String>> {
         let mut state = self.state.borrow_mut();
-        state.call().map_err(error)?;
+        state.count_call().map_err(io_error)?;
         Ok(state.names.keys().cloned().collect())
     }
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
         let mut state = self.state.borrow_mut();
-        state.call().map_err(error)?;
-        let inode = state.find(name)?;
+        state.count_call().map_err(io_error)?;
+        let inode = state.inode_of(name)?;
         Ok(state.inodes[inode].data.clone())
     }
 
-    fn head(&self, name: &str, length: usize) -> io::Result<Vec<u8>> {
+    fn read_prefix(&self, name: &str, length: usize) -> io::Result<Vec<u8>> {
         let mut bytes = self.read(name)?;
         bytes.truncate(length);
         Ok(bytes)
@@ -244,20 +258,20 @@
 
     fn create(&self, name: &str) -> io::Result<SimFile> {
         let mut state = self.state.borrow_mut();
-        state.call().map_err(error)?;
+        state.count_call().map_err(io_error)?;
         let inode = state.inodes.len();
         state.inodes.push(Inode::default());
-        state.change(Change::Create(name.to_string(), inode));
+        state.change_names(NameChange::Create(name.to_string(), inode));
         Ok(SimFile { state: self.state.clone(), inode })
     }
 
-    fn cut(&self, name: &str, length: u64) -> io::Result<()> {
+    fn truncate(&self, name: &str, length: u64) -> io::Result<()> {
         let mut state = self.state.borrow_mut();
-        state.call().map_err(error)?;
-        let inode = state.find(name)?;
+        state.count_call().map_err(io_error)?;
+        let inode = state.inode_of(name)?;
         let inode = &mut state.inodes[inode];
         inode.data.truncate(length as usize);
-        if inode.lost.is_none() {
+        if inode.lost_from.is_none() {
             inode.durable = inode.data.len();
         }
         Ok(())
@@ -265,71 +279,71 @@
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut state = self.state.borrow_mut();
-        state.call().map_err(error)?;
-        state.find(from)?;
-        state.change(Change::Rename(from.to_string(), to.to_string()));
+        state.count_call().map_err(io_error)?;
+        state.inode_of(from)?;
+        state.change_names(NameChange::Rename(from.to_string(), to.to_string()));
         Ok(())
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.state.borrow_mut();
-        state.call().map_err(error)?;
-        state.find(name)?;
-        state.change(Change::Remove(name.to_string()));
+        state.count_call().map_err(io_error)?;
+        state.inode_of(name)?;
+        state.change_names(NameChange::Remove(name.to_string()));
         Ok(())
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         let mut state = self.state.borrow_mut();
-        state.call().map_err(error)?;
-        if state.omits == Some(Sync::Names) {
+        state.count_call().map_err(io_error)?;
+        if state.ignored_syncs == Some(SyncKind::Directory) {
             return Ok(());
         }
         state.durable_names = state.names.clone();
-        state.changes.clear();
+        state.unsynced_changes.clear();
         Ok(())
     }
 }
 
-impl Append for SimFile {
+impl AppendFile for SimFile {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.state.borrow_mut();
-        if state.broken == Some(Part::Appends) {
+        if state.failing_kind == Some(CallKind::Appends) {
             state.calls += 1;
-            return Err(error(Failure::Full));
+            return Err(io_error(Failure::StorageFull));
         }
-        let done = state.call();
-        let part = if done.is_ok() { bytes.len() } else { bytes.len() / 2 };
-        // Once the power is gone nothing is written.
-        if state.stops.is_none_or(|at| state.calls <= at) {
-            state.written += part as u64;
-            state.inodes[self.inode].data.extend_from_slice(&bytes[..part]);
+        let result = state.count_call();
+        let length = if result.is_ok() { bytes.len() } else { bytes.len() / 2 };
+        // Nothing is written after the loss of power.
+        if state.power_lost_at.is_none_or(|at| state.calls <= at) {
+            state.written_bytes += length as u64;
+            state.inodes[self.inode].data.extend_from_slice(&bytes[..length]);
         }
-        done.map_err(error)
+        result.map_err(io_error)
     }
 
     fn sync(&mut self) -> io::Result<()> {
         let mut state = self.state.borrow_mut();
-        let done = state.call().and_then(|()| {
-            if state.broken == Some(Part::Syncs) {
-                Err(Failure::Broken)
+        let result = state.count_call().and_then(|()| {
+            if state.failing_kind == Some(CallKind::Syncs) {
+                Err(Failure::Io)
             } else {
                 Ok(())
             }
         });
-        if state.omits == Some(Sync::Data) {
-            return done.map_err(error);
+        if state.ignored_syncs == Some(SyncKind::Data) {
+            return result.map_err(io_error);
         }
         let inode = &mut state.inodes[self.inode];
-        match done {
-            Ok(()) if inode.lost.is_none() => inode.durable = inode.data.len(),
+        match result {
+            Ok(()) if inode.lost_from.is_none() => inode.durable = inode.data.len(),
             Ok(()) => {}
-            Err(_) => inode.lost = Some(inode.durable),
+            Err(_) => inode.lost_from = Some(inode.durable),
         }
-        done.map_err(error)
+        result.map_err(io_error)
     }
 
-    fn another(&self) -> io::Result<SimFile> {
+    fn duplicate_handle(&self) -> io::Result<SimFile> {
         Ok(SimFile { state: self.state.clone(), inode: self.inode })
     }
 }
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -2,17 +2,17 @@
 //! a loss of power there, the log is opened again and what it holds is held against what was acknowledged.
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use store::files::Files;
-use store::frame::Does;
-use store::log::{Config, Entry, Found, Images, Log};
-use store::sim::{Failure, SimDisk, Sync};
-use store::survey::OpenError;
+use store::file_system::FileSystem;
+use store::folder_scan::OpenError;
+use store::frame::Operation;
+use store::log::{Entry, Log, LogConfig, OpenReport, SnapshotSource};
+use store::sim::{Failure, SimDisk, SyncKind};
 
 /// What is known of a key: the numbers of all that was noted about it, in order.
 type Notes = Vec<u32>;
 
-fn config() -> Config {
-    Config { owner: "n3".into(), limit: 14 << 10, largest: 600, durable: true }
+fn config() -> LogConfig {
+    LogConfig { owner: "n3".into(), max_bytes: 14 << 10, max_payload_bytes: 600, durable: true }
 }
 
 fn payload(notes: &[u32]) -> Vec<u8> {
@@ -34,29 +34,29 @@
 struct Kept(BTreeMap<u64, Notes>);
 
 impl Kept {
-    fn take(&mut self, does: Does, key: u64, payload: &[u8]) {
-        match does {
-            Does::Begin => _ = self.0.insert(key, notes(payload)),
-            Does::Add => {
+    fn take(&mut self, operation: Operation, key: u64, payload: &[u8]) {
+        match operation {
+            Operation::Put => _ = self.0.insert(key, notes(payload)),
+            Operation::Merge => {
                 if let Some(known) = self.0.get_mut(&key) {
                     known.extend(notes(payload));
                 }
             }
-            Does::End => _ = self.0.remove(&key),
+            Operation::Delete => _ = self.0.remove(&key),
         }
     }
 }
 
-impl Images for Kept {
-    fn image(&self, key: u64) -> Option<Vec<u8>> {
+impl SnapshotSource for Kept {
+    fn snapshot(&self, key: u64) -> Option<Vec<u8>> {
         self.0.get(&key).map(|notes| payload(notes))
     }
 }
 
-fn open<F: Files>(files: F) -> Result<(Log<F>, Kept, Found), OpenError> {
+fn open<F: FileSystem>(files: F) -> Result<(Log<F>, Kept, OpenReport), OpenError> {
     let kept = RefCell::new(Kept::default());
     let (log, found) = Log::open(files, config(), |r| {
-        kept.borrow_mut().take(r.does, r.key, r.payload);
+        kept.borrow_mut().take(r.operation, r.key, r.payload);
         Ok(())
     })?;
     Ok((log, kept.into_inner(), found))
@@ -89,27 +89,29 @@
 
     /// One step: a few records, and now and then a sync that acknowledges all before it.
     fn step(&mut self) {
-        let mut records: Vec<(Does, u64, Vec<u8>)> = Vec::new();
+        let mut records: Vec<(Operation, u64, Vec<u8>)> = Vec::new();
         let mut then = self.kept.clone();
         for _ in 0..self.random.usize(1..=3) {
             let live: Vec<u64> = then.0.keys().copied().collect();
-            let (does, key) = match self.random.u8(..10) {
-                _ if live.is_empty() => (Does::Begin, u64::from(self.next)),
-                0..=3 if live.len() < 12 => (Does::Begin, u64::from(self.next)),
-                4..=6 => (Does::Add, live[self.random.usize(..live.len())]),
-                _ => (Does::End, live[self.random.usize(..live.len())]),
+            let (operation, key) = match self.random.u8(..10) {
+                _ if live.is_empty() => (Operation::Put, u64::from(self.next)),
+                0..=3 if live.len() < 12 => (Operation::Put, u64::from(self.next)),
+                4..=6 => (Operation::Merge, live[self.random.usize(..live.len())]),
+                _ => (Operation::Delete, live[self.random.usize(..live.len())]),
             };
-            let note = if does == Does::End { Vec::new() } else { vec![self.next] };
+            let note = if operation == Operation::Delete { Vec::new() } else { vec![self.next] };
             self.next += 1;
             let bytes = payload(&note);
-            then.take(does, key, &bytes);
+            then.take(operation, key, &bytes);
             let history = self.all.entry(key).or_default();
             history.notes.extend(note);
-            history.ended |= does == Does::End;
-            records.push((does, key, bytes));
+            history.ended |= operation == Operation::Delete;
+            records.push((operation, key, bytes));
         }
-        let entries: Vec<Entry> =
-            records.iter().map(|(does, key, payload)| Entry { key: *key, does: *does, payload }).collect();
+        let entries: Vec<Entry> = records
+            .iter()
+            .map(|(operation, key, payload)| Entry { key: *key, operation: *operation, payload })
+            .collect();
         // Where it fails, what was tried may be there or not; the user goes on as if it were not.
         if self.log.append(&entries, &self.kept).is_err() {
             return;
@@ -160,7 +162,7 @@
 /// Runs the workload until the power goes at a call, or to its end; none where even the first opening fails.
 fn run(disk: &SimDisk, seed: u64, stop: Option<usize>) -> Option<User> {
     if let Some(stop) = stop {
-        disk.stop(stop);
+        disk.lose_power_at(stop);
     }
     let mut user = User::new(disk, seed)?;
     for _ in 0..STEPS {
@@ -172,7 +174,7 @@
 /// Opens what survived, twice, the second time after the first was cut short at a random call.
 fn reopen(user: &User, left: &SimDisk, random: &mut fastrand::Rng) -> Result<(), String> {
     let again = left.after_power_loss(random);
-    again.stop(random.usize(1..12));
+    again.lose_power_at(random.usize(1..12));
     let _ = open(again.clone());
     let (_, kept, found) = open(left.clone()).map_err(|e| e.to_string())?;
     user.check(&kept)?;
@@ -186,10 +188,10 @@
 }
 
 /// Crash states that a seed of the workload gives, `each` for each call; or the first that is wrong.
-fn states(seed: u64, each: u64, omitted: Option<Sync>) -> Result<usize, String> {
+fn states(seed: u64, each: u64, omitted: Option<SyncKind>) -> Result<usize, String> {
     let disk = || {
         let disk = SimDisk::default();
-        omitted.into_iter().for_each(|syncs| disk.omit(syncs));
+        omitted.into_iter().for_each(|syncs| disk.ignore_syncs(syncs));
         disk
     };
     let whole = disk();
@@ -200,7 +202,7 @@
         let Some(user) = run(&disk, seed, Some(stop)) else { continue };
         for choice in 0..each {
             let mut random = fastrand::Rng::with_seed(seed << 32 | (stop as u64) << 8 | choice);
-            let left = if choice == 0 { disk.after_death() } else { disk.after_power_loss(&mut random) };
+            let left = if choice == 0 { disk.after_crash() } else { disk.after_power_loss(&mut random) };
             reopen(&user, &left, &mut random)
                 .map_err(|e| format!("seed {seed}, power lost at call {stop}, choice {choice}: {e}"))?;
             count += 2;
@@ -224,7 +226,7 @@
 
 #[test]
 fn a_sync_that_is_omitted_is_found() {
-    for omitted in [Sync::Data, Sync::Names] {
+    for omitted in [SyncKind::Data, SyncKind::Directory] {
         let wrong = (1..=4).find_map(|seed| states(seed, 20, Some(omitted)).err());
         eprintln!("{omitted:?}: {wrong:?}");
         assert!(wrong.is_some(), "{omitted:?}");
@@ -239,15 +241,15 @@
         let whole = SimDisk::default();
         run(&whole, seed, None).expect("nothing fails");
         for call in 1..=whole.calls() {
-            for failure in [Failure::Broken, Failure::Full] {
+            for failure in [Failure::Io, Failure::StorageFull] {
                 let disk = SimDisk::default();
-                disk.fail(call, failure);
+                disk.fail_call(call, failure);
                 // Where the first opening fails nothing was taken on.
                 let Some(user) = run(&disk, seed, None) else { continue };
                 for choice in 0..4 {
                     let mut random = fastrand::Rng::with_seed(seed << 32 | (call as u64) << 8 | choice);
                     let left =
-                        if choice == 0 { disk.after_death() } else { disk.after_power_loss(&mut random) };
+                        if choice == 0 { disk.after_crash() } else { disk.after_power_loss(&mut random) };
                     reopen(&user, &left, &mut random).unwrap_or_else(|e| {
                         panic!("seed {seed}, {failure:?} at call {call}, choice {choice}: {e}")
                     });
--- a/crates/testbed/examples/scale_fleet.rs
+++ b/crates/testbed/examples/scale_fleet.rs
@@ -297,7 +297,7 @@
 fn read_list(at: SocketAddr) -> Result<(Catalogue, Duration), Box<dyn Error>> {
     let begun = std::time::Instant::now();
     let (reader, length) = ask(at)?;
-    let taken = intake::read(reader.take(length), &Catalogue::default(), &Limits::of_memory(64 << 20))?;
+    let taken = intake::read(reader.take(length), &Catalogue::default(), &Limits::for_memory(64 << 20))?;
     Ok((taken.catalogue, begun.elapsed()))
 }
 
--- a/crates/testbed/src/scale/fleet.rs
+++ b/crates/testbed/src/scale/fleet.rs
@@ -9,7 +9,7 @@
 use crate::clock::Clock;
 use crate::http::{Link, Start};
 use crate::seed::Seed;
-use catalogue::intake::{self, Taken};
+use catalogue::intake::{self, LoadedList};
 use catalogue::{Catalogue, Limits};
 use hdrhistogram::Histogram;
 use rand::RngExt;
@@ -260,7 +260,7 @@
 
     /// Puts a list in force.
     fn take(&mut self, body: &[u8]) -> bool {
-        let limits = Limits::of_memory((real_sender::MEMORY_MB << 20) as usize);
+        let limits = Limits::for_memory((real_sender::MEMORY_MB << 20) as usize);
         let Ok(taken) = intake::read(body, &self.catalogue, &limits) else { return false };
         let (generation, changed) = (taken.generation, taken.reset || !taken.changed.is_empty());
         if changed {
@@ -270,7 +270,7 @@
         true
     }
 
-    fn apply(&mut self, taken: Taken) {
+    fn apply(&mut self, taken: LoadedList) {
         self.catalogue = taken.catalogue;
         let listed = CatalogueDirectory { catalogue: &self.catalogue, names: &self.words };
         let mut events: Vec<Event> = Vec::new();
--- a/crates/testbed/src/scale/module.rs
+++ b/crates/testbed/src/scale/module.rs
@@ -1,7 +1,7 @@
 //! The decision module alone, in time that passes as it is told to: what it holds by listed destination, by used
 //! destination and by held message.
 use super::fleet::words;
-use catalogue::intake::Taken;
+use catalogue::intake::LoadedList;
 use catalogue::Catalogue;
 use sender::api::{
     Action, AttemptEnd, Condition, Entry, Event, Message, MsgId, Ns, Outcome, Settings, MS, SECOND,
@@ -74,7 +74,7 @@
     }
 
     /// Puts a list in force, and tells the module as much of it as it needs.
-    pub fn take(&mut self, taken: Taken) {
+    pub fn take(&mut self, taken: LoadedList) {
         let listed = CatalogueDirectory { catalogue: &taken.catalogue, names: &self.words };
         let mut events = Vec::new();
         match taken.reset {
--- a/src/bin/sender/client.rs
+++ b/src/bin/sender/client.rs
@@ -129,7 +129,7 @@
         let out = self.out.borrow();
         let ready_but_out =
             out.iter().filter(|&&endpoint| self.directory.ready_place(endpoint).is_some()).count();
-        !self.frozen.get() && self.directory.catalogue().ready() > ready_but_out
+        !self.frozen.get() && self.directory.catalogue().ready_count() > ready_but_out
     }
 
     /// Where a connection that was made to an endpoint may be written to now, if it still leads there.
--- a/src/bin/sender/config.rs
+++ b/src/bin/sender/config.rs
@@ -38,7 +38,7 @@
 impl CatalogueBounds {
     /// The bounds where `memory_mb` is what the whole sender may use.
     fn limits(&self, memory_mb: f64) -> Result<catalogue::Limits, String> {
-        let mut limits = catalogue::Limits::of_memory((memory_mb * MB) as usize);
+        let mut limits = catalogue::Limits::for_memory((memory_mb * MB) as usize);
         match self.max_entries {
             Some(0) => return Err("catalogue.max_entries: has to be at least 1".into()),
             Some(entries) => limits.max_entries = usize::try_from(entries).unwrap_or(usize::MAX),
@@ -234,7 +234,7 @@
 
 /// A name that is longer than an owner's may be is told by its beginning and a checksum.
 fn short(name: String) -> String {
-    const MOST: usize = store::frame::OWNER;
+    const MOST: usize = store::frame::MAX_OWNER_BYTES;
     if name.len() <= MOST {
         return name;
     }
--- a/src/bin/sender/config/tests.rs
+++ b/src/bin/sender/config/tests.rs
@@ -41,7 +41,7 @@
 #[test]
 fn bounds_on_the_catalogue_follow_the_memory_where_none_are_named() {
     let limits = bounds(json!({})).limits(64.0).unwrap();
-    assert_eq!(limits, catalogue::Limits::of_memory(64 << 20));
+    assert_eq!(limits, catalogue::Limits::for_memory(64 << 20));
     let limits = bounds(json!({"max_entries": 500_000, "max_mb": 1.5})).limits(64.0).unwrap();
     assert_eq!(limits, catalogue::Limits { max_entries: 500_000, max_bytes: 3 << 19 });
 }
@@ -62,7 +62,7 @@
 
 #[test]
 fn the_known_list_is_read_wherever_it_stands_in_the_file() {
-    let limits = catalogue::Limits::of_memory(64 << 20);
+    let limits = catalogue::Limits::for_memory(64 << 20);
     let file =
         Written::new("known", &json!({"a": {"known": 1}, "known": list(3), "settings": {"known": [2]}}));
     let known = file.known(&limits).unwrap();
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_known_list_that_names_nothing_counts_as_none() {
-    let limits = catalogue::Limits::of_memory(64 << 20);
+    let limits = catalogue::Limits::for_memory(64 << 20);
     for (name, value) in [("empty", json!({"known": list(0)})), ("absent", json!({"settings": {}}))] {
         assert_eq!(Written::new(name, &value).known(&limits).unwrap().generation(), None, "{name}");
     }
--- a/src/bin/sender/core.rs
+++ b/src/bin/sender/core.rs
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use store::disk::Disk;
-use store::files::Files;
+use store::file_system::FileSystem;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep_until, timeout, Instant};
 
@@ -71,7 +71,7 @@
     claimed: u64,
 }
 
-pub struct Core<F: Files = Disk> {
+pub struct Core<F: FileSystem = Disk> {
     sender: Sender,
     settings: Settings,
     around: ProgramSettings,
@@ -126,7 +126,7 @@
 const PROBE: Duration = Duration::from_millis(250);
 const FIRST_LIST: Duration = Duration::from_millis(300);
 
-impl<F: Files> Core<F>
+impl<F: FileSystem> Core<F>
 where
     F::File: Send + 'static,
 {
@@ -472,7 +472,7 @@
     }
 
     /// Puts a list in force that was taken in, and tells the module what concerns its work.
-    fn follow_list(&mut self, taken: intake::Taken, events: &mut Vec<Event>) {
+    fn follow_list(&mut self, taken: intake::LoadedList, events: &mut Vec<Event>) {
         let before = self.directory.replace(taken.catalogue);
         let whole = taken.reset | std::mem::take(&mut self.partial);
         if whole {
--- a/src/bin/sender/core/tests.rs
+++ b/src/bin/sender/core/tests.rs
@@ -11,7 +11,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Condvar, Mutex};
-use store::files::Append;
+use store::file_system::AppendFile;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
@@ -63,23 +63,23 @@
 struct Gated(Disk, Syncs);
 struct GatedFile(File, Syncs);
 
-impl Files for Gated {
+impl FileSystem for Gated {
     type File = GatedFile;
 
-    fn names(&self) -> io::Result<Vec<String>> {
-        self.0.names()
+    fn file_names(&self) -> io::Result<Vec<String>> {
+        self.0.file_names()
     }
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
         self.0.read(name)
     }
-    fn head(&self, name: &str, length: usize) -> io::Result<Vec<u8>> {
-        self.0.head(name, length)
+    fn read_prefix(&self, name: &str, length: usize) -> io::Result<Vec<u8>> {
+        self.0.read_prefix(name, length)
     }
     fn create(&self, name: &str) -> io::Result<GatedFile> {
         Ok(GatedFile(self.0.create(name)?, self.1.clone()))
     }
-    fn cut(&self, name: &str, length: u64) -> io::Result<()> {
-        self.0.cut(name, length)
+    fn truncate(&self, name: &str, length: u64) -> io::Result<()> {
+        self.0.truncate(name, length)
     }
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         self.0.rename(from, to)
@@ -87,20 +87,20 @@
     fn remove(&self, name: &str) -> io::Result<()> {
         self.0.remove(name)
     }
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         Ok(())
     }
 }
 
-impl Append for GatedFile {
+impl AppendFile for GatedFile {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.0.append(bytes)
     }
     fn sync(&mut self) -> io::Result<()> {
         self.1.pass()
     }
-    fn another(&self) -> io::Result<GatedFile> {
-        Ok(GatedFile(self.0.another()?, self.1.clone()))
+    fn duplicate_handle(&self) -> io::Result<GatedFile> {
+        Ok(GatedFile(self.0.duplicate_handle()?, self.1.clone()))
     }
 }
 
@@ -155,7 +155,7 @@
         state: folder.to_path_buf(),
         seed: 1,
         limits: config::Limits { sockets: 64, disk_mb: 3.0, memory_mb: None },
-        catalogue: catalogue::Limits::of_memory(64 << 20),
+        catalogue: catalogue::Limits::for_memory(64 << 20),
         settings: read,
         told: settings.to_string(),
         around,
@@ -209,7 +209,7 @@
 }
 
 fn read_list(list: &serde_json::Value) -> Catalogue {
-    let (bytes, limits) = (list.to_string(), catalogue::Limits::of_memory(64 << 20));
+    let (bytes, limits) = (list.to_string(), catalogue::Limits::for_memory(64 << 20));
     catalogue::intake::read(bytes.as_bytes(), &Catalogue::default(), &limits).unwrap().catalogue
 }
 
@@ -267,7 +267,14 @@
 
 fn changes(catalogue: Catalogue, changed: Vec<EndpointId>) -> Input {
     let (generation, entries) = (catalogue.generation().unwrap_or(0), changed.len());
-    Input::Catalogue(intake::Taken { catalogue, generation, reset: false, changed, entries, unreadable: 0 })
+    Input::Catalogue(intake::LoadedList {
+        catalogue,
+        generation,
+        reset: false,
+        changed,
+        entries,
+        unreadable: 0,
+    })
 }
 
 fn on_one_thread(test: impl Future<Output = ()>) {
@@ -419,7 +426,7 @@
             let instances: Vec<_> = (0..DESTINATIONS).map(entry).collect();
             json!({"generation": generation, "reset": true, "instances": instances}).to_string()
         };
-        let limits = catalogue::Limits::of_memory(64 << 20);
+        let limits = catalogue::Limits::for_memory(64 << 20);
         let read = |list: String, current: &Catalogue| {
             catalogue::intake::read(list.as_bytes(), current, &limits).unwrap()
         };
--- a/src/bin/sender/discovery.rs
+++ b/src/bin/sender/discovery.rs
@@ -2,7 +2,7 @@
 use crate::connection::{self, Connection, Fault};
 use crate::input::Input;
 use crate::list_intake::{BodyError, ListIntake};
-use catalogue::intake::{IntakeError, Taken};
+use catalogue::intake::{IntakeError, LoadedList};
 use hyper::body::Incoming;
 use hyper::StatusCode;
 use std::net::SocketAddr;
@@ -145,7 +145,7 @@
     path: &str,
     intake: &ListIntake,
     by: Instant,
-) -> Result<Taken, Missed> {
+) -> Result<LoadedList, Missed> {
     let silent = |_| Missed::from(BodyError::Silent);
     let (mut link, body) = timeout_at(by, ask(connection, at, path)).await.map_err(silent)??;
     let taken = intake.read(body, by).await?;
--- a/src/bin/sender/first_catalogue.rs
+++ b/src/bin/sender/first_catalogue.rs
@@ -47,7 +47,7 @@
         }
         let entries =
             numbered.endpoints.iter().map(|e| (e.number, completed(e.endpoint(), numbered, &known)));
-        let handed = Catalogue::numbered(entries, numbered.next_id);
+        let handed = Catalogue::from_numbered(entries, numbered.next_id);
         if numbered.whole && numbered.generation.is_some() {
             let (generation, new_to_module) = (numbered.generation, false);
             return FirstCatalogue { in_force: handed.clone(), watched: handed, generation, new_to_module };
@@ -77,7 +77,7 @@
     }
     let listed = |name| known.id(name).and_then(|id| known.get(id));
     let entries = numbers.filter_map(|(number, name)| Some((number, listed(name)?)));
-    let mut catalogue = Catalogue::numbered(entries, next_id);
+    let mut catalogue = Catalogue::from_numbered(entries, next_id);
     catalogue.add_missing(&known);
     catalogue
 }
--- a/src/bin/sender/first_catalogue/tests.rs
+++ b/src/bin/sender/first_catalogue/tests.rs
@@ -13,7 +13,7 @@
     };
     let entries: Vec<String> = endpoints.iter().map(entry).collect();
     let text = format!(r#"{{"generation":{generation},"reset":true,"instances":[{}]}}"#, entries.join(","));
-    intake::read(text.as_bytes(), &Catalogue::default(), &Limits::none()).unwrap().catalogue
+    intake::read(text.as_bytes(), &Catalogue::default(), &Limits::unlimited()).unwrap().catalogue
 }
 
 /// What a process hands over whose module knows the endpoints of a list under numbers from 10 on.
--- a/src/bin/sender/input.rs
+++ b/src/bin/sender/input.rs
@@ -44,7 +44,7 @@
         reply: oneshot::Sender<Reply>,
     },
     /// The list of endpoints has changed, or was read anew.
-    Catalogue(intake::Taken),
+    Catalogue(intake::LoadedList),
     Ended(Vec<AttemptEnd>),
     Probed {
         endpoint: EndpointId,
--- a/src/bin/sender/journal.rs
+++ b/src/bin/sender/journal.rs
@@ -12,10 +12,10 @@
 use std::io;
 use std::path::Path;
 use store::disk::Disk;
-use store::files::Files;
-use store::frame::Does;
-use store::log::{Config, Entry, Found, Log};
-use store::survey::OpenError;
+use store::file_system::FileSystem;
+use store::folder_scan::OpenError;
+use store::frame::Operation;
+use store::log::{Entry, Log, LogConfig, OpenReport};
 use tokio::time::Instant;
 
 /// Bytes of a message's body, and of its class, tenant, id and key together, at most.
@@ -41,17 +41,17 @@
         self.max_attempts.min(1_000) as usize
     }
 
-    fn config(&self) -> Config {
-        Config {
+    fn config(&self) -> LogConfig {
+        LogConfig {
             owner: self.name.to_string(),
-            limit: (self.disk_mb * 1e6 * PART) as u64,
-            largest: payload::largest(BODY, TEXTS, self.attempts()),
+            max_bytes: (self.disk_mb * 1e6 * PART) as u64,
+            max_payload_bytes: payload::largest(BODY, TEXTS, self.attempts()),
             durable: self.sync != Sync::None,
         }
     }
 }
 
-pub struct Journal<F: Files = Disk> {
+pub struct Journal<F: FileSystem = Disk> {
     log: Log<F>,
     book: Book,
     /// Bytes that all that is owed may come to, and how many they may be.
@@ -75,14 +75,14 @@
     }
 }
 
-impl<F: Files> Journal<F>
+impl<F: FileSystem> Journal<F>
 where
     F::File: Send + 'static,
 {
     pub fn on(files: F, owner: Owner, how: &How) -> Result<Journal<F>, OpenError> {
         let mut book = Book::default();
         let config = how.config();
-        let limit = config.limit;
+        let limit = config.max_bytes;
         let (log, found) = Log::open(files, config, |record| book.read(&record))?;
         tell(&found);
         let max_attempts = how.attempts();
@@ -131,7 +131,7 @@
     /// Whether anything can be written (again).
     pub fn probe(&mut self) -> io::Result<()> {
         self.flush()?;
-        self.log.append(&[Entry { key: NOBODY, does: Does::End, payload: &[] }], &self.book)?;
+        self.log.append(&[Entry { key: NOBODY, operation: Operation::Delete, payload: &[] }], &self.book)?;
         self.unsynced = true;
         Ok(())
     }
@@ -145,7 +145,7 @@
         if records.is_empty() {
             return Ok(());
         }
-        let coded: Vec<(u64, Does, Vec<u8>)> = records
+        let coded: Vec<(u64, Operation, Vec<u8>)> = records
             .iter()
             .map(|record| {
                 let (does, payload) = payload::write(record);
@@ -153,7 +153,7 @@
             })
             .collect();
         let entries: Vec<Entry> =
-            coded.iter().map(|(key, does, payload)| Entry { key: *key, does: *does, payload }).collect();
+            coded.iter().map(|(key, does, payload)| Entry { key: *key, operation: *does, payload }).collect();
         self.log.append(&entries, &self.book)?;
         self.unsynced = true;
         Ok(())
@@ -187,7 +187,7 @@
         })
         .await
         .map_err(io::Error::other)?;
-        self.log.synced(&unsynced, result)?;
+        self.log.finish_sync(&unsynced, result)?;
         self.unsynced = false;
         Ok(())
     }
@@ -213,17 +213,20 @@
 }
 
 /// Damage is told loudly but for the tail that a crash leaves.
-fn tell(found: &Found) {
+fn tell(found: &OpenReport) {
     for damage in &found.damage {
-        match damage.is_expected() {
+        match damage.is_expected_after_crash() {
             true => tracing::warn!("journal: {damage}, as a crash leaves it; it was cut off"),
             false => tracing::error!("journal: DAMAGED: {damage}"),
         }
     }
-    for file in &found.aside.files {
+    for file in &found.quarantine.files {
         tracing::error!(file, "journal: the damaged bytes were set aside");
     }
-    if found.aside.left > 0 {
-        tracing::error!(places = found.aside.left, "journal: damaged bytes have no room to be set aside");
+    if found.quarantine.skipped > 0 {
+        tracing::error!(
+            places = found.quarantine.skipped,
+            "journal: damaged bytes have no room to be set aside"
+        );
     }
 }
--- a/src/bin/sender/journal/takeover.rs
+++ b/src/bin/sender/journal/takeover.rs
@@ -8,13 +8,13 @@
 use std::io;
 use std::path::{Path, PathBuf};
 use store::disk::Disk;
-use store::files::Files;
-use store::frame::Does;
-use store::log::{Config, Entry, Log};
-use store::survey::OpenError;
+use store::file_system::FileSystem;
+use store::folder_scan::OpenError;
+use store::frame::Operation;
+use store::log::{Entry, Log, LogConfig};
 
 /// The folder of the log, once it holds what an old file held. Cut short at any point it is done by the next start.
-pub fn prepare(folder: &Path, config: &Config) -> Result<PathBuf, OpenError> {
+pub fn prepare(folder: &Path, config: &LogConfig) -> Result<PathBuf, OpenError> {
     let journal = folder.join("journal");
     let (next, old) = (folder.join("journal.next"), folder.join("journal.old"));
     // A rewrite of the old file that was cut short: that file still holds everything.
@@ -43,7 +43,7 @@
         fs::create_dir(&journal)?;
     }
     if config.durable {
-        Disk::new(folder).sync_names()?;
+        Disk::new(folder).sync_directory()?;
     }
     remove(&old)?;
     Ok(journal)
@@ -56,7 +56,7 @@
     }
 }
 
-fn fill(bytes: &[u8], folder: &Path, config: &Config) -> Result<(), OpenError> {
+fn fill(bytes: &[u8], folder: &Path, config: &LogConfig) -> Result<(), OpenError> {
     let read = journal_file::read(bytes);
     for range in &read.damaged {
         let (start, end) = (range.start, range.end);
@@ -70,7 +70,7 @@
     let (mut log, _) = Log::open(Disk::new(folder), config.clone(), |_| Ok(()))?;
     for (&key, owed) in book.owed() {
         let payload = sender::records::payload::image(owed);
-        log.append(&[Entry { key, does: Does::Begin, payload: &payload }], &book)?;
+        log.append(&[Entry { key, operation: Operation::Put, payload: &payload }], &book)?;
     }
     if config.durable {
         log.sync(&book)?;
--- a/src/bin/sender/list_intake.rs
+++ b/src/bin/sender/list_intake.rs
@@ -2,7 +2,7 @@
 use crate::body_channel::{body_channel, BodyWriter, ReaderGone};
 use crate::memory;
 use bytes::{Bytes, BytesMut};
-use catalogue::intake::{self, IntakeError, Taken};
+use catalogue::intake::{self, IntakeError, LoadedList};
 use catalogue::{Catalogue, Limits};
 use http_body_util::BodyExt;
 use hyper::body::Body;
@@ -53,7 +53,7 @@
     }
 
     /// Makes a list the one in force, on which the next changes build.
-    pub fn put_in_force(&mut self, taken: &Taken) {
+    pub fn put_in_force(&mut self, taken: &LoadedList) {
         let before = std::mem::replace(&mut self.catalogue, taken.catalogue.clone());
         if taken.reset {
             release(before);
@@ -62,7 +62,7 @@
 
     /// Reads a body. It has to be whole by a time, or to be found long by then; from there on it has to go on
     /// coming. The catalogue in force stays as it is.
-    pub async fn read<B>(&self, mut body: B, by: Instant) -> Result<Taken, BodyError>
+    pub async fn read<B>(&self, mut body: B, by: Instant) -> Result<LoadedList, BodyError>
     where
         B: Body<Data = Bytes, Error: Display> + Unpin,
     {
@@ -77,13 +77,13 @@
         timeout(self.patience.whole, self.read_long(begun, body)).await.unwrap_or(Err(BodyError::Silent))
     }
 
-    fn read_short(&self, parts: VecDeque<Bytes>) -> Result<Taken, BodyError> {
+    fn read_short(&self, parts: VecDeque<Bytes>) -> Result<LoadedList, BodyError> {
         let mut whole = BytesMut::new();
         parts.iter().for_each(|part| whole.extend_from_slice(part));
         Ok(intake::read(&whole[..], &self.catalogue, &self.limits)?)
     }
 
-    async fn read_long<B>(&self, begun: VecDeque<Bytes>, body: B) -> Result<Taken, BodyError>
+    async fn read_long<B>(&self, begun: VecDeque<Bytes>, body: B) -> Result<LoadedList, BodyError>
     where
         B: Body<Data = Bytes, Error: Display> + Unpin,
     {
--- a/src/bin/sender/list_intake/tests.rs
+++ b/src/bin/sender/list_intake/tests.rs
@@ -76,7 +76,7 @@
     steps: VecDeque<Step>,
     length: Option<u64>,
     limits: Limits,
-) -> (Result<Taken, BodyError>, usize, Duration) {
+) -> (Result<LoadedList, BodyError>, usize, Duration) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let mut intake = ListIntake::new(Catalogue::default(), limits);
@@ -89,7 +89,7 @@
     })
 }
 
-fn broke_off(result: &Result<Taken, BodyError>) -> bool {
+fn broke_off(result: &Result<LoadedList, BodyError>) -> bool {
     matches!(result, Err(BodyError::BrokeOff(_)))
 }
 
--- a/src/records.rs
+++ b/src/records.rs
@@ -12,7 +12,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Names of endpoints longer than this are not taken from a list: records have a bound.
-pub const MAX_NAME: usize = catalogue::MAX_NAME;
+pub const MAX_NAME: usize = catalogue::MAX_NAME_BYTES;
 
 /// Unix time in milliseconds.
 pub fn wall_ms() -> i64 {
--- a/src/records/book.rs
+++ b/src/records/book.rs
@@ -2,7 +2,7 @@
 use super::{payload, Owed, Record};
 use std::collections::BTreeMap;
 use store::frame;
-use store::log::Images;
+use store::log::SnapshotSource;
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Book {
@@ -36,17 +36,17 @@
 
     /// What the log has of a message.
     pub fn read(&mut self, record: &frame::Record) -> Result<(), String> {
-        match record.does {
-            frame::Does::Begin => self.enter(payload::read_image(record.key, record.payload)?),
-            frame::Does::Add => self.note(&payload::read_addition(record.key, record.payload)?),
-            frame::Does::End => self.note(&Record::Ended(record.key)),
+        match record.operation {
+            frame::Operation::Put => self.enter(payload::read_image(record.key, record.payload)?),
+            frame::Operation::Merge => self.note(&payload::read_addition(record.key, record.payload)?),
+            frame::Operation::Delete => self.note(&Record::Ended(record.key)),
         }
         Ok(())
     }
 }
 
-impl Images for Book {
-    fn image(&self, key: u64) -> Option<Vec<u8>> {
+impl SnapshotSource for Book {
+    fn snapshot(&self, key: u64) -> Option<Vec<u8>> {
         self.owed.get(&key).map(payload::image)
     }
 }
--- a/src/records/folder.rs
+++ b/src/records/folder.rs
@@ -6,9 +6,9 @@
 use std::io;
 use std::path::{Path, PathBuf};
 use store::disk::Disk;
-use store::frame::{Does, PAYLOAD};
-use store::log::{Config, Entry, Log};
-use store::survey::{Damage, OpenError, Survey};
+use store::folder_scan::{Damage, FolderScan, OpenError};
+use store::frame::{Operation, MAX_PAYLOAD_BYTES};
+use store::log::{Entry, Log, LogConfig};
 
 /// In what form a folder keeps what is owed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -91,9 +91,9 @@
 
 fn read_log(path: &Path) -> Result<State, FolderError> {
     let mut book = Book::default();
-    let survey = Survey::read(&Disk::new(path), None, |_, record| book.read(&record))
+    let survey = FolderScan::read(&Disk::new(path), None, |_, record| book.read(&record))
         .map_err(|error| FolderError::Open { path: path.to_path_buf(), error })?;
-    let fault = |d: &Damage| Fault { what: d.to_string(), expected: d.is_expected() };
+    let fault = |d: &Damage| Fault { what: d.to_string(), expected: d.is_expected_after_crash() };
     Ok(State {
         form: Form::Log,
         owner: survey.owner,
@@ -136,12 +136,17 @@
     let failed = |error| FolderError::Open { path: path.clone(), error };
     let bytes: u64 = book.owed().values().map(|o| payload::image(o).len() as u64).sum();
     // Twice, as a log has room for what begins only while cleaning has room as well.
-    let limit = 2 * bytes + (8 << 20);
-    let config = Config { owner: owner.to_string(), limit, largest: PAYLOAD, durable: true };
+    let max_bytes = 2 * bytes + (8 << 20);
+    let config = LogConfig {
+        owner: owner.to_string(),
+        max_bytes,
+        max_payload_bytes: MAX_PAYLOAD_BYTES,
+        durable: true,
+    };
     let (mut log, _) = Log::open(Disk::new(&path), config, |_| Ok(())).map_err(failed)?;
     for (&key, owed) in book.owed() {
         let payload = payload::image(owed);
-        let entry = Entry { key, does: Does::Begin, payload: &payload };
+        let entry = Entry { key, operation: Operation::Put, payload: &payload };
         log.append(&[entry], book).map_err(|e| failed(e.into()))?;
     }
     log.sync(book).map_err(|e| failed(e.into()))?;
@@ -149,7 +154,7 @@
     if maint.is_file() {
         at(&maint, fs::copy(&maint, to.join("maint")))?;
     }
-    at(to, store::files::Files::sync_names(&Disk::new(to)))
+    at(to, store::file_system::FileSystem::sync_directory(&Disk::new(to)))
 }
 
 /// An attempt, as it is shown.
--- a/src/records/payload.rs
+++ b/src/records/payload.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
-use store::frame::{Does, FRAME};
+use store::frame::{Operation, RECORD_HEADER_BYTES};
 
 const FORM: u8 = 1;
 /// Form, and length of what comes before the body.
@@ -11,7 +11,7 @@
 /// Upper bounds in bytes, of what surrounds texts and body of a message, of one attempt with what becomes known of it,
 /// and of the records of an end.
 const AROUND: usize = 160;
-const ATTEMPT: usize = FRAME + 30 + MAX_NAME + FRAME + 16;
+const ATTEMPT: usize = RECORD_HEADER_BYTES + 30 + MAX_NAME + RECORD_HEADER_BYTES + 16;
 const END: usize = 160;
 
 #[derive(Serialize, Deserialize)]
@@ -96,20 +96,20 @@
 }
 
 /// What a record does to its message, and its payload.
-pub fn write(record: &Record) -> (Does, Vec<u8>) {
+pub fn write(record: &Record) -> (Operation, Vec<u8>) {
     let addition = match record {
         Record::Taken(taken) => {
             let owed = Owed { taken: taken.clone(), attempts: Vec::new(), ending: None };
-            return (Does::Begin, image(&owed));
+            return (Operation::Put, image(&owed));
         }
-        Record::Ended(_) => return (Does::End, Vec::new()),
+        Record::Ended(_) => return (Operation::Delete, Vec::new()),
         Record::Begun(_, begun) => Addition::Begun(begun.clone()),
         Record::NeverRan(_, number) => Addition::NeverRan(*number),
         Record::Decided(_, ending) => Addition::Decided(*ending),
     };
     let mut all = vec![FORM];
     all.extend_from_slice(&pack(&addition));
-    (Does::Add, all)
+    (Operation::Merge, all)
 }
 
 #[cfg(test)]
@@ -142,7 +142,7 @@
             owed.ending = Some(Ending::HandedBack(Some(u64::MAX)));
             records.push(Record::Decided(u64::MAX, Ending::HandedBack(Some(u64::MAX))));
             records.push(Record::Ended(u64::MAX));
-            let written: usize = records.iter().map(|r| FRAME + write(r).1.len()).sum();
+            let written: usize = records.iter().map(|r| RECORD_HEADER_BYTES + write(r).1.len()).sum();
             assert!(written as u64 <= claim(&taken, attempts as usize), "{attempts} attempts: {written}");
             let image = image(&owed);
             assert!(image.len() <= largest(64 << 10, 4 * 256, attempts as usize), "{}", image.len());
