--- a/crates/catalogue/src/intake.rs
+++ b/crates/catalogue/src/intake.rs
@@ -1,35 +1,38 @@
-//! Lists of endpoints, read as a stream: one entry is in memory at a time, and the catalogue in force stays as it is
-//! until the whole list has been read.
+//! Reads lists of endpoints as a stream.
+//!
+//! One entry is in memory at a time, and the current catalogue does not change until the whole list was read.
 
+mod bounded_reader;
 mod builder;
 mod entry;
 mod json;
-mod source;
 
 use crate::{Catalogue, EndpointId, Limits};
+use bounded_reader::{BoundedReader, MAX_ENTRY_BYTES};
 use builder::Builder;
-use json::{List, Member};
+use json::{ListSeed, MemberSeed};
 use serde::de::DeserializeSeed;
-use source::{Source, MAX_ENTRY};
 use std::io::Read;
 
-/// A list that was read to its end.
+/// The result of a list that was read to its end.
 #[derive(Clone)]
 pub struct LoadedList {
-    /// The catalogue with the list applied.
+    /// The next catalogue, with the list applied.
     pub catalogue: Catalogue,
+    /// Generation of the list.
     pub generation: u64,
-    /// It was a whole list; else a list of changes.
+    /// Whether it was a whole list; otherwise it was a list of changes.
     pub reset: bool,
-    /// Of a list of changes: all endpoints that it named and that are, or were, listed.
+    /// For a list of changes, the endpoints that it named and that are or were listed; empty for a whole
+    /// list.
     pub changed: Vec<EndpointId>,
-    /// Entries that could be read.
+    /// Number of entries that could be read.
     pub entries: usize,
-    /// Entries that could not be read, and were left out.
+    /// Number of entries that could not be read and were left out.
     pub unreadable: usize,
 }
 
-/// Why a list was not taken in.
+/// Why a list was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum IntakeError {
     #[error("the list has {entries} endpoints or more, {allowed} are allowed")]
@@ -40,31 +43,31 @@
     Unreadable(#[from] serde_json::Error),
 }
 
-/// Reads a list in discovery's form.
+/// Reads a list in the format of discovery and applies it to the current catalogue.
 pub fn read(reader: impl Read, current: &Catalogue, limits: &Limits) -> Result<LoadedList, IntakeError> {
     let mut builder = Builder::new(current, limits);
-    let source = Source::new(reader, MAX_ENTRY);
-    let progress = source.progress();
-    let mut deserializer = serde_json::Deserializer::from_reader(source.buffered());
-    let list = List { builder: &mut builder, progress };
+    let bounded_reader = BoundedReader::new(reader, MAX_ENTRY_BYTES);
+    let progress = bounded_reader.progress();
+    let mut deserializer = serde_json::Deserializer::from_reader(bounded_reader.buffered());
+    let list = ListSeed { builder: &mut builder, progress };
     let read = list.deserialize(&mut deserializer).and_then(|()| deserializer.end());
     builder.finish(read)
 }
 
-/// Reads the list that stands under a name in a JSON object; None where the object has no such member.
+/// Reads the list that is a member of a JSON object; `None` if the object has no such member.
 pub fn read_member(
     reader: impl Read,
     member: &str,
     limits: &Limits,
 ) -> Result<Option<LoadedList>, IntakeError> {
-    let none = Catalogue::default();
-    let mut builder = Builder::new(&none, limits);
-    // What stands beside the list has no bound: it is skipped, and not held.
-    let source = Source::new(reader, u64::MAX);
-    let progress = source.progress();
-    let mut deserializer = serde_json::Deserializer::from_reader(source.buffered());
+    let empty = Catalogue::default();
+    let mut builder = Builder::new(&empty, limits);
+    // Other members may be of any length: they are skipped, not held in memory.
+    let bounded_reader = BoundedReader::new(reader, u64::MAX);
+    let progress = bounded_reader.progress();
+    let mut deserializer = serde_json::Deserializer::from_reader(bounded_reader.buffered());
     let mut found = false;
-    let object = Member { name: member, found: &mut found, builder: &mut builder, progress };
+    let object = MemberSeed { name: member, found: &mut found, builder: &mut builder, progress };
     let read = object.deserialize(&mut deserializer);
     builder.finish(read).map(|taken| found.then_some(taken))
 }
--- a/crates/catalogue/src/intake/builder.rs
+++ b/crates/catalogue/src/intake/builder.rs
@@ -1,30 +1,31 @@
-//! Gathers the entries of one list, within bounds, and makes the next snapshot of them.
+//! Collects the entries of one list within limits and builds the next snapshot from them.
 
 use super::entry::{Entry, Fields};
 use super::{IntakeError, LoadedList};
 use crate::{Catalogue, Endpoint, EndpointId, Limits};
 use std::collections::BTreeSet;
 
-/// Memory is looked at each so many entries.
-const CHECK_EVERY: usize = 1_024;
+/// Memory is checked once per this number of entries.
+const MEMORY_CHECK_ENTRIES: usize = 1_024;
 
-/// Tells the parser to stop; the reason is kept in the builder.
+/// Makes the parser stop; the builder keeps the reason.
 #[derive(Debug, thiserror::Error)]
-#[error("the list is over its bounds")]
-pub(super) struct OverBounds;
+#[error("the list exceeds its limits")]
+pub(super) struct LimitExceeded;
 
+/// Builds the next catalogue from the entries of a list.
 pub(super) struct Builder<'a> {
     pub(super) generation: u64,
     pub(super) reset: bool,
     current: &'a Catalogue,
     limits: &'a Limits,
-    /// What the list names, under the numbers that it has or gets.
-    named: Catalogue,
-    /// What it says is gone, and has not named again since.
+    /// The endpoints that the list contains, under their known or new numbers.
+    listed: Catalogue,
+    /// The endpoints that the list reports as gone and does not list again afterwards.
     gone: BTreeSet<EndpointId>,
     entries: usize,
     unreadable: usize,
-    refused: Option<IntakeError>,
+    rejection: Option<IntakeError>,
 }
 
 impl<'a> Builder<'a> {
@@ -34,94 +35,95 @@
             reset: false,
             current,
             limits,
-            named: current.successor(),
+            listed: current.empty_successor(),
             gone: BTreeSet::new(),
             entries: 0,
             unreadable: 0,
-            refused: None,
+            rejection: None,
         }
     }
 
-    /// Takes one entry. What can't be read costs itself alone.
-    pub(super) fn entry(&mut self, text: &str) -> Result<(), OverBounds> {
+    /// Adds one entry. An entry that can't be read is counted and left out.
+    pub(super) fn add_entry(&mut self, text: &str) -> Result<(), LimitExceeded> {
         if self.reset && self.entries + self.unreadable == 0 {
-            // Whole lists are mostly as long as the one before.
-            self.named.make_room(self.current.len());
+            // A whole list is mostly as long as the one before.
+            self.listed.reserve(self.current.len());
         }
         let fields = Fields::parse(text);
-        let taken = match fields.as_ref().and_then(Fields::entry) {
-            Some(Entry::Listed(endpoint)) => self.list(&endpoint),
-            Some(Entry::Gone(name)) => self.drop_name(name),
+        let readable = match fields.as_ref().and_then(Fields::entry) {
+            Some(Entry::Listed(endpoint)) => self.add_listed(&endpoint),
+            Some(Entry::Gone(name)) => self.remove_name(name),
             None => false,
         };
-        if !taken {
+        if !readable {
             self.unreadable += 1;
             return Ok(());
         }
         self.entries += 1;
-        self.check_bounds()
+        self.check_limits()
     }
 
-    fn list(&mut self, endpoint: &Endpoint) -> bool {
-        let id = self.number(endpoint.name);
+    fn add_listed(&mut self, endpoint: &Endpoint) -> bool {
+        let id = self.id_for(endpoint.name);
         self.gone.remove(&id);
-        self.named.put(id, endpoint)
+        self.listed.put(id, endpoint)
     }
 
-    fn drop_name(&mut self, name: &str) -> bool {
-        if let Some(id) = self.named.id(name).or_else(|| self.current.id(name)) {
-            self.named.remove(id);
+    fn remove_name(&mut self, name: &str) -> bool {
+        if let Some(id) = self.listed.id(name).or_else(|| self.current.id(name)) {
+            self.listed.remove(id);
             self.gone.insert(id);
         }
         true
     }
 
-    /// The number that a name has, had a short while ago, or gets now.
-    fn number(&self, name: &str) -> EndpointId {
-        let known = self.current.id(name).or_else(|| self.named.id(name));
-        known.or_else(|| self.current.departed(name)).unwrap_or(self.named.next_id())
+    /// The number of a name: that of the listed endpoint, its earlier one if it was removed lately, or a new
+    /// one.
+    fn id_for(&self, name: &str) -> EndpointId {
+        let known = self.current.id(name).or_else(|| self.listed.id(name));
+        known.or_else(|| self.current.removed_id(name)).unwrap_or(self.listed.next_id())
     }
 
-    fn check_bounds(&mut self) -> Result<(), OverBounds> {
-        let entries = self.named.len();
+    fn check_limits(&mut self) -> Result<(), LimitExceeded> {
+        let entries = self.listed.len();
         self.check_entries(entries)?;
-        if self.entries.is_multiple_of(CHECK_EVERY) {
-            self.check_memory(self.named.heap_bytes(), entries)?;
+        if self.entries.is_multiple_of(MEMORY_CHECK_ENTRIES) {
+            self.check_memory(self.listed.heap_bytes(), entries)?;
         }
         Ok(())
     }
 
-    fn check_memory(&mut self, bytes: usize, entries: usize) -> Result<(), OverBounds> {
+    fn check_memory(&mut self, bytes: usize, entries: usize) -> Result<(), LimitExceeded> {
         let allowed = self.limits.max_bytes;
         if bytes <= allowed {
             return Ok(());
         }
-        self.refused = Some(IntakeError::TooMuchMemory { bytes, allowed, entries });
-        Err(OverBounds)
+        self.rejection = Some(IntakeError::TooMuchMemory { bytes, allowed, entries });
+        Err(LimitExceeded)
     }
 
-    fn check_entries(&mut self, entries: usize) -> Result<(), OverBounds> {
+    fn check_entries(&mut self, entries: usize) -> Result<(), LimitExceeded> {
         let allowed = self.limits.max_entries;
         if entries <= allowed {
             return Ok(());
         }
-        self.refused = Some(IntakeError::TooManyEntries { entries, allowed });
-        Err(OverBounds)
+        self.rejection = Some(IntakeError::TooManyEntries { entries, allowed });
+        Err(LimitExceeded)
     }
 
-    /// The next snapshot, where the list was read to its end.
+    /// Builds the next catalogue, if the list was read to its end.
     pub(super) fn finish(mut self, read: serde_json::Result<()>) -> Result<LoadedList, IntakeError> {
-        if let Some(refused) = self.refused.take() {
-            return Err(refused);
+        if let Some(rejection) = self.rejection.take() {
+            return Err(rejection);
         }
         read?;
-        let changed = if self.reset { Vec::new() } else { self.changed() };
-        let mut catalogue = if self.reset { self.replaced() } else { self.merged() };
+        let changed = if self.reset { Vec::new() } else { self.changed_ids() };
+        let mut catalogue = if self.reset { self.replaced_catalogue() } else { self.merged_catalogue() };
         catalogue.set_generation(Some(self.generation));
         let entries = catalogue.len();
         let _ = self.check_entries(entries).and_then(|()| self.check_memory(catalogue.heap_bytes(), entries));
-        if let Some(refused) = self.refused.take() {
-            return Err(refused);
+        if let Some(rejection) = self.rejection.take() {
+            return Err(rejection);
         }
         Ok(LoadedList {
             catalogue,
@@ -133,28 +135,29 @@
         })
     }
 
-    fn changed(&self) -> Vec<EndpointId> {
+    /// The endpoints that a list of changes lists, or removes from the current catalogue.
+    fn changed_ids(&self) -> Vec<EndpointId> {
         let gone = self.gone.iter().copied().filter(|&id| self.current.get(id).is_some());
-        self.named.ids().chain(gone).collect()
+        self.listed.ids().chain(gone).collect()
     }
 
-    /// The list alone: what it does not name is gone.
-    fn replaced(&mut self) -> Catalogue {
-        let mut catalogue = std::mem::take(&mut self.named);
-        catalogue.remember_departed(self.current);
+    /// The catalogue of a whole list: endpoints that it does not contain are removed.
+    fn replaced_catalogue(&mut self) -> Catalogue {
+        let mut catalogue = std::mem::take(&mut self.listed);
+        catalogue.remember_removed(self.current);
         catalogue.shrink();
         catalogue
     }
 
-    /// The catalogue in force with the list's changes.
-    fn merged(&self) -> Catalogue {
+    /// The current catalogue with the changes of the list.
+    fn merged_catalogue(&self) -> Catalogue {
         let mut catalogue = self.current.clone();
-        for (id, endpoint) in self.named.ids().filter_map(|id| Some((id, self.named.get(id)?))) {
+        for (id, endpoint) in self.listed.ids().filter_map(|id| Some((id, self.listed.get(id)?))) {
             catalogue.put(id, &endpoint);
         }
         for &id in &self.gone {
             if let Some(endpoint) = self.current.get(id) {
-                catalogue.depart(id, endpoint.name);
+                catalogue.remove_and_remember(id, endpoint.name);
             }
         }
         catalogue
--- a/crates/catalogue/src/intake/entry.rs
+++ b/crates/catalogue/src/intake/entry.rs
@@ -1,18 +1,19 @@
-//! One entry of a list.
+//! Parses one entry of a list.
 
 use crate::{Endpoint, Lifecycle, MAX_NAME_BYTES};
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 
-/// What an entry says of an endpoint.
+/// A parsed entry.
 pub(super) enum Entry<'a> {
+    /// The endpoint is listed.
     Listed(Endpoint<'a>),
-    /// The endpoint of that name is off the list.
+    /// The endpoint of this name is removed from the list.
     Gone(&'a str),
 }
 
-/// The members of an entry. Those that an endpoint can do without are read as far as they can be.
+/// The JSON members of an entry. Optional members that can't be read have their default value.
 #[derive(Deserialize)]
 pub(super) struct Fields<'a> {
     #[serde(rename = "instanceId", borrow)]
@@ -22,16 +23,16 @@
     cell: u64,
     #[serde(borrow)]
     lifecycle: Cow<'a, str>,
-    #[serde(default, deserialize_with = "readable")]
+    #[serde(default, deserialize_with = "value_or_default")]
     zone: String,
-    #[serde(default, rename = "machineType", deserialize_with = "readable")]
+    #[serde(default, rename = "machineType", deserialize_with = "value_or_default")]
     machine_type: String,
-    #[serde(default, deserialize_with = "readable")]
+    #[serde(default, deserialize_with = "value_or_default")]
     weight: f64,
 }
 
-/// The value if it has the right form, else the default.
-fn readable<'de, D, T>(deserializer: D) -> Result<T, D::Error>
+/// Deserializes a value, or returns the default if it has the wrong type.
+fn value_or_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
     T: serde::de::DeserializeOwned + Default,
@@ -41,11 +42,12 @@
 }
 
 impl<'a> Fields<'a> {
+    /// Parses the JSON of an entry; `None` if it is no object or a required member can't be read.
     pub(super) fn parse(text: &'a str) -> Option<Fields<'a>> {
         serde_json::from_str(text).ok()
     }
 
-    /// The entry; None where a member that it needs can't be read.
+    /// The entry; `None` if its name is too long or its address can't be parsed.
     pub(super) fn entry(&self) -> Option<Entry<'_>> {
         if self.name.len() > MAX_NAME_BYTES {
             return None;
@@ -53,7 +55,7 @@
         let lifecycle = match self.lifecycle.as_ref() {
             "Gone" => return Some(Entry::Gone(&self.name)),
             "Ready" => Lifecycle::Ready,
-            // Also what is not known: it gets nothing new.
+            // `Terminating`, and any unknown value: the endpoint gets no new calls.
             _ => Lifecycle::Draining,
         };
         Some(Entry::Listed(Endpoint {
--- a/crates/catalogue/src/intake/json.rs
+++ b/crates/catalogue/src/intake/json.rs
@@ -1,32 +1,34 @@
-//! The JSON form of a list, visited without holding it.
+//! Visits the JSON of a list without holding it in memory.
 
+use super::bounded_reader::EntryProgress;
 use super::builder::Builder;
-use super::source::Progress;
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 use std::fmt;
 
-/// A list: an object with `generation`, `reset` and `instances` in any order.
-pub(super) struct List<'b, 'c> {
+/// Deserializes a list: an object with `generation`, `reset` and `instances` in any order.
+pub(super) struct ListSeed<'b, 'c> {
     pub(super) builder: &'b mut Builder<'c>,
-    pub(super) progress: Progress,
+    pub(super) progress: EntryProgress,
 }
 
-/// An object one member of which is a list.
-pub(super) struct Member<'b, 'c> {
+/// Deserializes an object that has a list as one of its members.
+pub(super) struct MemberSeed<'b, 'c> {
     pub(super) name: &'b str,
+    /// Set to true if the object has the member.
     pub(super) found: &'b mut bool,
     pub(super) builder: &'b mut Builder<'c>,
-    pub(super) progress: Progress,
+    pub(super) progress: EntryProgress,
 }
 
-struct Instances<'b, 'c> {
+/// Deserializes the array of entries.
+struct InstancesSeed<'b, 'c> {
     builder: &'b mut Builder<'c>,
-    progress: Progress,
+    progress: EntryProgress,
 }
 
-impl<'de> DeserializeSeed<'de> for List<'_, '_> {
+impl<'de> DeserializeSeed<'de> for ListSeed<'_, '_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<(), D::Error> {
@@ -34,7 +36,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for List<'_, '_> {
+impl<'de> Visitor<'de> for ListSeed<'_, '_> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -48,7 +50,7 @@
                 "reset" => self.builder.reset = map.next_value()?,
                 "instances" => {
                     let progress = self.progress.clone();
-                    map.next_value_seed(Instances { builder: &mut *self.builder, progress })?;
+                    map.next_value_seed(InstancesSeed { builder: &mut *self.builder, progress })?;
                 }
                 _ => _ = map.next_value::<IgnoredAny>()?,
             }
@@ -57,7 +59,7 @@
     }
 }
 
-impl<'de> DeserializeSeed<'de> for Instances<'_, '_> {
+impl<'de> DeserializeSeed<'de> for InstancesSeed<'_, '_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<(), D::Error> {
@@ -65,7 +67,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Instances<'_, '_> {
+impl<'de> Visitor<'de> for InstancesSeed<'_, '_> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -73,16 +75,16 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<(), A::Error> {
-        // What can't be read as an entry is still read over as JSON.
+        // Each element only has to be valid JSON here; the builder leaves out those that are no entries.
         while let Some(entry) = seq.next_element::<Box<RawValue>>()? {
-            self.builder.entry(entry.get()).map_err(A::Error::custom)?;
+            self.builder.add_entry(entry.get()).map_err(A::Error::custom)?;
             self.progress.entry_read();
         }
         Ok(())
     }
 }
 
-impl<'de> DeserializeSeed<'de> for Member<'_, '_> {
+impl<'de> DeserializeSeed<'de> for MemberSeed<'_, '_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<(), D::Error> {
@@ -90,7 +92,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Member<'_, '_> {
+impl<'de> Visitor<'de> for MemberSeed<'_, '_> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -105,7 +107,7 @@
             }
             *self.found = true;
             let progress = self.progress.clone();
-            map.next_value_seed(List { builder: &mut *self.builder, progress })?;
+            map.next_value_seed(ListSeed { builder: &mut *self.builder, progress })?;
         }
         Ok(())
     }
--- a/crates/catalogue/src/interner.rs
+++ b/crates/catalogue/src/interner.rs
@@ -1,41 +1,44 @@
-//! Numbers for words that many entries share: zones and machine types.
+//! Numbers for strings that many entries share: zones and machine types.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Longer words are not taken.
-const MAX_WORD: usize = 256;
+/// Longest string that is interned, in bytes.
+const MAX_STRING_BYTES: usize = 256;
 
+/// Strings and their numbers, which count from 0.
 #[derive(Clone, Default)]
 pub(crate) struct Interner {
-    words: Vec<Arc<str>>,
+    strings: Vec<Arc<str>>,
     numbers: HashMap<Arc<str>, u16>,
 }
 
 impl Interner {
-    pub(crate) fn word(&self, number: u16) -> &str {
-        self.words.get(usize::from(number)).map_or("", |word| word)
+    /// The string of a number; empty if there is no such number.
+    pub(crate) fn get(&self, number: u16) -> &str {
+        self.strings.get(usize::from(number)).map_or("", |string| string)
     }
 
-    /// The number of a word that is known already.
-    pub(crate) fn find(&self, word: &str) -> Option<u16> {
-        self.numbers.get(word).copied()
+    /// The number of a string that was added before.
+    pub(crate) fn find(&self, string: &str) -> Option<u16> {
+        self.numbers.get(string).copied()
     }
 
-    /// Adds a word; None where it is too long or there are too many.
-    pub(crate) fn add(&mut self, word: &str) -> Option<u16> {
-        if word.len() > MAX_WORD {
+    /// Adds a string; `None` if it is too long or all 65,536 numbers are in use.
+    pub(crate) fn add(&mut self, string: &str) -> Option<u16> {
+        if string.len() > MAX_STRING_BYTES {
             return None;
         }
-        let number = u16::try_from(self.words.len()).ok()?;
-        let word: Arc<str> = word.into();
-        self.words.push(word.clone());
-        self.numbers.insert(word, number);
+        let number = u16::try_from(self.strings.len()).ok()?;
+        let string: Arc<str> = string.into();
+        self.strings.push(string.clone());
+        self.numbers.insert(string, number);
         Some(number)
     }
 
+    /// Heap memory of the strings and of the table that finds them.
     pub(crate) fn heap_bytes(&self) -> usize {
         let entry = size_of::<Arc<str>>() * 2 + size_of::<u16>();
-        self.words.iter().map(|word| word.len() + entry).sum()
+        self.strings.iter().map(|string| string.len() + entry).sum()
     }
 }
--- a/crates/catalogue/src/limits.rs
+++ b/crates/catalogue/src/limits.rs
@@ -1,24 +1,24 @@
-//! Bounds on a catalogue.
+//! Limits on the size of a catalogue.
 
-/// Part of a sender's memory that one snapshot may take. While a list is replaced there are two of them.
-const PART_OF_MEMORY: f64 = 0.375;
+/// Fraction of a sender's memory that one snapshot may take. Two of them exist while a list is replaced.
+const MAX_MEMORY_FRACTION: f64 = 0.375;
 
-/// What a catalogue may come to hold.
+/// Limits on the size of a catalogue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Endpoints listed.
+    /// Most endpoints listed.
     pub max_entries: usize,
-    /// Bytes of one snapshot ([`crate::Catalogue::heap_bytes`]).
+    /// Most memory of one snapshot, as counted by [`crate::Catalogue::heap_bytes`].
     pub max_bytes: usize,
 }
 
 impl Limits {
-    /// The bounds for a process that may use so many bytes of memory.
+    /// The limits for a process that may use `memory_bytes` of memory.
     pub fn for_memory(memory_bytes: usize) -> Limits {
-        Limits { max_entries: usize::MAX, max_bytes: (memory_bytes as f64 * PART_OF_MEMORY) as usize }
+        Limits { max_entries: usize::MAX, max_bytes: (memory_bytes as f64 * MAX_MEMORY_FRACTION) as usize }
     }
 
-    /// No bounds, as for lists that were taken in before.
+    /// No limits, as for lists that were accepted before.
     pub fn unlimited() -> Limits {
         Limits { max_entries: usize::MAX, max_bytes: usize::MAX }
     }
--- a/crates/catalogue/src/snapshot.rs
+++ b/crates/catalogue/src/snapshot.rs
@@ -1,18 +1,18 @@
-//! The catalogue itself: pages of records, and what finds them by name and by destination.
+//! The catalogue: pages of records, with indexes by name and by destination.
 
-use crate::departed::{self, Departed};
 use crate::index::Index;
 use crate::interner::Interner;
-use crate::page::{Page, Record, State, PAGE};
+use crate::page::{Page, Record, RecordState, PAGE_RECORDS};
+use crate::removed_names::{self, RemovedNames};
 use crate::{DestinationId, EndpointId, Lifecycle, MAX_NAME_BYTES};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// One endpoint as the list has it.
+/// A listed endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint<'a> {
-    /// The name by which discovery knows it, the same at every sender.
+    /// The name given by discovery, which is the same at every sender.
     pub name: &'a str,
     pub address: SocketAddr,
     pub zone: &'a str,
@@ -25,27 +25,28 @@
 /// A snapshot of all listed endpoints.
 #[derive(Clone, Default)]
 pub struct Catalogue {
-    parts: Arc<Parts>,
+    inner: Arc<Inner>,
 }
 
-/// What a snapshot consists of; a copy of it shares pages and parts of the indexes.
+/// The content of a snapshot. A copy shares the pages and the parts of the indexes.
 #[derive(Clone, Default)]
-struct Parts {
+struct Inner {
     generation: Option<u64>,
-    /// By number; None where no endpoint of the page is listed.
+    /// Pages by their number; `None` if no endpoint of the page is listed.
     pages: Vec<Option<Arc<Page>>>,
     by_name: Index,
     by_destination: Index,
     zones: Arc<Interner>,
     machine_types: Arc<Interner>,
-    departed: Arc<Departed>,
+    removed_names: Arc<RemovedNames>,
     next_id: EndpointId,
-    listed: usize,
-    ready: usize,
+    listed_count: usize,
+    ready_count: usize,
 }
 
-fn place_of(id: EndpointId) -> (usize, usize) {
-    (id as usize / PAGE, id as usize % PAGE)
+/// The number of an endpoint's page, and the position in it.
+fn page_and_position(id: EndpointId) -> (usize, usize) {
+    (id as usize / PAGE_RECORDS, id as usize % PAGE_RECORDS)
 }
 
 fn hash_of(key: impl Hash) -> u32 {
@@ -54,85 +55,90 @@
     (hasher.finish() >> 32) as u32
 }
 
-fn intern(words: &mut Arc<Interner>, word: &str) -> Option<u16> {
-    words.find(word).or_else(|| Arc::make_mut(words).add(word))
+fn intern(interner: &mut Arc<Interner>, string: &str) -> Option<u16> {
+    interner.find(string).or_else(|| Arc::make_mut(interner).add(string))
 }
 
 impl Catalogue {
-    /// The generation of the last list taken in; None before the first.
+    /// The generation of the last list that was read; `None` before the first.
     pub fn generation(&self) -> Option<u64> {
-        self.parts.generation
+        self.inner.generation
     }
 
-    /// Whether nobody else holds this snapshot, so that dropping it frees what no other one shares.
+    /// Whether this is the only reference to the snapshot, so that dropping it frees what no other snapshot
+    /// shares.
     pub fn is_last_holder(&self) -> bool {
-        Arc::strong_count(&self.parts) == 1
+        Arc::strong_count(&self.inner) == 1
     }
 
-    /// How many endpoints are listed.
+    /// Number of listed endpoints.
     pub fn len(&self) -> usize {
-        self.parts.listed
+        self.inner.listed_count
     }
 
+    /// Whether no endpoint is listed.
     pub fn is_empty(&self) -> bool {
-        self.parts.listed == 0
+        self.inner.listed_count == 0
     }
 
-    /// How many of them are ready.
+    /// Number of listed endpoints that are ready.
     pub fn ready_count(&self) -> usize {
-        self.parts.ready
+        self.inner.ready_count
     }
 
-    /// The number that the next new name gets.
+    /// The number that will be assigned to the next new name.
     pub fn next_id(&self) -> EndpointId {
-        self.parts.next_id
+        self.inner.next_id
     }
 
     /// The number of a listed name.
     pub fn id(&self, name: &str) -> Option<EndpointId> {
-        self.parts.by_name.find(hash_of(name)).find(|&id| self.get(id).is_some_and(|e| e.name == name))
+        self.inner.by_name.find(hash_of(name)).find(|&id| self.get(id).is_some_and(|e| e.name == name))
     }
 
-    /// A listed endpoint.
+    /// The listed endpoint of a number.
     pub fn get(&self, id: EndpointId) -> Option<Endpoint<'_>> {
-        let (page, place) = place_of(id);
-        let page = self.parts.pages.get(page)?.as_deref()?;
-        let record = page.record(place)?;
+        let (page, position) = page_and_position(id);
+        let page = self.inner.pages.get(page)?.as_deref()?;
+        let record = page.record(position)?;
         Some(Endpoint {
             name: page.name(record),
-            address: page.address(place, record),
-            zone: self.parts.zones.word(record.zone),
-            machine_type: self.parts.machine_types.word(record.machine_type),
+            address: page.address(position, record),
+            zone: self.inner.zones.get(record.zone),
+            machine_type: self.inner.machine_types.get(record.machine_type),
             destination: record.destination,
             lifecycle: record.state.lifecycle()?,
             weight: record.weight,
         })
     }
 
-    /// The endpoints of a destination, by ascending number.
+    /// The listed endpoints of a destination, by ascending number.
     pub fn endpoints_of(&self, destination: DestinationId) -> impl Iterator<Item = EndpointId> + '_ {
-        let same_hash = self.parts.by_destination.find(hash_of(destination));
-        same_hash.filter(move |&id| self.parts.record(id).is_some_and(|r| r.destination == destination))
+        let same_hash = self.inner.by_destination.find(hash_of(destination));
+        same_hash.filter(move |&id| self.inner.record(id).is_some_and(|r| r.destination == destination))
     }
 
     /// All listed endpoints, by ascending number.
     pub fn ids(&self) -> impl Iterator<Item = EndpointId> + '_ {
-        let pages = self.parts.pages.iter().enumerate();
+        let pages = self.inner.pages.iter().enumerate();
         let listed = pages.filter_map(|(number, page)| Some((number, page.as_deref()?)));
-        listed.flat_map(|(number, page)| page.live().map(move |place| (number * PAGE + place) as EndpointId))
+        listed.flat_map(|(number, page)| {
+            page.occupied().map(move |position| (number * PAGE_RECORDS + position) as EndpointId)
+        })
     }
 
-    /// Bytes that this snapshot holds, those that it shares with others included. Room left over by growing does not
-    /// count: what is kept of it once a list is read is up to a quarter of the indexes.
+    /// Heap memory of this snapshot, including what it shares with others. Spare capacity is not counted;
+    /// once a list was read, up to a quarter of the size of the indexes remains of it.
     pub fn heap_bytes(&self) -> usize {
-        let parts = &self.parts;
-        let pages: usize = parts.pages.iter().flatten().map(|page| page.heap_bytes()).sum();
-        let directory = parts.pages.len() * size_of::<Option<Arc<Page>>>();
-        let indexes = parts.by_name.heap_bytes() + parts.by_destination.heap_bytes();
-        pages + directory + indexes + parts.zones.heap_bytes() + parts.machine_types.heap_bytes()
+        let inner = &self.inner;
+        let pages: usize = inner.pages.iter().flatten().map(|page| page.heap_bytes()).sum();
+        let directory = inner.pages.len() * size_of::<Option<Arc<Page>>>();
+        let indexes = inner.by_name.heap_bytes() + inner.by_destination.heap_bytes();
+        pages + directory + indexes + inner.zones.heap_bytes() + inner.machine_types.heap_bytes()
     }
 
-    /// A catalogue of endpoints that another process has numbered, as in an upgrade. `next_id` is above all of them.
+    /// Creates a catalogue with the numbers of another process, as in an upgrade. `next_id` is above all of
+    /// them.
     pub fn from_numbered<'a>(
         entries: impl IntoIterator<Item = (EndpointId, Endpoint<'a>)>,
         next_id: EndpointId,
@@ -141,13 +147,13 @@
         for (id, endpoint) in entries {
             catalogue.put(id, &endpoint);
         }
-        let parts = Arc::make_mut(&mut catalogue.parts);
-        parts.next_id = parts.next_id.max(next_id);
+        let inner = Arc::make_mut(&mut catalogue.inner);
+        inner.next_id = inner.next_id.max(next_id);
         catalogue
     }
 
-    /// Adds the names of another catalogue that are not listed here, under numbers of this one, and takes over its
-    /// generation.
+    /// Adds the endpoints of another catalogue whose names are not listed here, under new numbers, and adopts
+    /// its generation.
     pub fn add_missing(&mut self, other: &Catalogue) {
         for endpoint in other.ids().filter_map(|id| other.get(id)) {
             if self.id(endpoint.name).is_none() {
@@ -159,36 +165,37 @@
         self.shrink();
     }
 
-    /// Makes room in the indexes of an empty catalogue for so many endpoints.
-    pub(crate) fn make_room(&mut self, endpoints: usize) {
-        let parts = Arc::make_mut(&mut self.parts);
-        (parts.by_name, parts.by_destination) = (Index::with_room(endpoints), Index::with_room(endpoints));
+    /// Reserves capacity for `endpoints` endpoints in the indexes of an empty catalogue.
+    pub(crate) fn reserve(&mut self, endpoints: usize) {
+        let inner = Arc::make_mut(&mut self.inner);
+        (inner.by_name, inner.by_destination) =
+            (Index::with_capacity(endpoints), Index::with_capacity(endpoints));
     }
 
     pub(crate) fn set_generation(&mut self, generation: Option<u64>) {
-        Arc::make_mut(&mut self.parts).generation = generation;
+        Arc::make_mut(&mut self.inner).generation = generation;
     }
 
-    /// An empty catalogue that goes on with the numbers of this one.
-    pub(crate) fn successor(&self) -> Catalogue {
-        let (departed, next_id) = (self.parts.departed.clone(), self.parts.next_id);
-        let parts = Parts { departed, next_id, ..Parts::default() };
-        Catalogue { parts: Arc::new(parts) }
+    /// An empty catalogue that continues the numbers of this one.
+    pub(crate) fn empty_successor(&self) -> Catalogue {
+        let (removed_names, next_id) = (self.inner.removed_names.clone(), self.inner.next_id);
+        let inner = Inner { removed_names, next_id, ..Inner::default() };
+        Catalogue { inner: Arc::new(inner) }
     }
 
-    /// The number that a name had when it was listed, where it left a short while ago.
-    pub(crate) fn departed(&self, name: &str) -> Option<EndpointId> {
-        self.parts.departed.find(name)
+    /// The number of a name that was removed from the list lately.
+    pub(crate) fn removed_id(&self, name: &str) -> Option<EndpointId> {
+        self.inner.removed_names.find(name)
     }
 
-    /// Lists an endpoint under a number; false where a word of it can't be taken.
+    /// Lists an endpoint under a number; returns false if its name is too long or a string can't be interned.
     pub(crate) fn put(&mut self, id: EndpointId, endpoint: &Endpoint) -> bool {
-        let parts = Arc::make_mut(&mut self.parts);
+        let inner = Arc::make_mut(&mut self.inner);
         if endpoint.name.len() > MAX_NAME_BYTES {
             return false;
         }
-        let Some(zone) = intern(&mut parts.zones, endpoint.zone) else { return false };
-        let Some(machine_type) = intern(&mut parts.machine_types, endpoint.machine_type) else {
+        let Some(zone) = intern(&mut inner.zones, endpoint.zone) else { return false };
+        let Some(machine_type) = intern(&mut inner.machine_types, endpoint.machine_type) else {
             return false;
         };
         let record = Record {
@@ -199,55 +206,55 @@
             state: endpoint.lifecycle.into(),
             ..Record::default()
         };
-        parts.put(id, endpoint.name, endpoint.address, record);
+        inner.put(id, endpoint.name, endpoint.address, record);
         true
     }
 
-    /// Takes an endpoint off the list.
+    /// Removes an endpoint from the list.
     pub(crate) fn remove(&mut self, id: EndpointId) {
-        Arc::make_mut(&mut self.parts).remove(id);
+        Arc::make_mut(&mut self.inner).remove(id);
     }
 
-    /// Takes an endpoint off the list, and remembers its number.
-    pub(crate) fn depart(&mut self, id: EndpointId, name: &str) {
-        let parts = Arc::make_mut(&mut self.parts);
-        parts.remove(id);
-        Arc::make_mut(&mut parts.departed).add(name, id);
+    /// Removes an endpoint from the list and remembers its number.
+    pub(crate) fn remove_and_remember(&mut self, id: EndpointId, name: &str) {
+        let inner = Arc::make_mut(&mut self.inner);
+        inner.remove(id);
+        Arc::make_mut(&mut inner.removed_names).add(name, id);
     }
 
-    /// Remembers the numbers of endpoints that were listed before and are not any more.
-    pub(crate) fn remember_departed(&mut self, before: &Catalogue) {
-        let gone: Vec<EndpointId> = before.ids().filter(|&id| self.parts.record(id).is_none()).collect();
-        if gone.is_empty() {
+    /// Remembers the numbers of endpoints that are listed in `before` and no longer here.
+    pub(crate) fn remember_removed(&mut self, before: &Catalogue) {
+        let removed: Vec<EndpointId> = before.ids().filter(|&id| self.inner.record(id).is_none()).collect();
+        if removed.is_empty() {
             return;
         }
-        let departed = Arc::make_mut(&mut Arc::make_mut(&mut self.parts).departed);
-        let forgotten = gone.len().saturating_sub(departed::CAPACITY);
-        for &id in &gone[forgotten..] {
+        let removed_names = Arc::make_mut(&mut Arc::make_mut(&mut self.inner).removed_names);
+        let skipped = removed.len().saturating_sub(removed_names::CAPACITY);
+        for &id in &removed[skipped..] {
             if let Some(endpoint) = before.get(id) {
-                departed.add(endpoint.name, id);
+                removed_names.add(endpoint.name, id);
             }
         }
     }
 
-    /// Gives back the room that building has left over.
+    /// Releases spare capacity that building the catalogue has left over.
     pub(crate) fn shrink(&mut self) {
-        let parts = Arc::make_mut(&mut self.parts);
-        parts.pages.shrink_to_fit();
-        for page in parts.pages.iter_mut().flatten() {
+        let inner = Arc::make_mut(&mut self.inner);
+        inner.pages.shrink_to_fit();
+        for page in inner.pages.iter_mut().flatten() {
             if let Some(page) = Arc::get_mut(page) {
                 page.shrink();
             }
         }
-        parts.by_name.shrink();
-        parts.by_destination.shrink();
+        inner.by_name.shrink();
+        inner.by_destination.shrink();
     }
 }
 
-impl Parts {
+impl Inner {
     fn record(&self, id: EndpointId) -> Option<&Record> {
-        let (page, place) = place_of(id);
-        self.pages.get(page)?.as_deref()?.record(place)
+        let (page, position) = page_and_position(id);
+        self.pages.get(page)?.as_deref()?.record(position)
     }
 
     fn put(&mut self, id: EndpointId, name: &str, address: SocketAddr, record: Record) {
@@ -255,31 +262,31 @@
         if let Some(old) = old.filter(|old| old.destination != record.destination) {
             self.by_destination.remove(hash_of(old.destination), id);
         }
-        let (number, place) = place_of(id);
+        let (number, position) = page_and_position(id);
         if self.pages.len() <= number {
             self.pages.resize(number + 1, None);
         }
-        Arc::make_mut(self.pages[number].get_or_insert_default()).put(place, name, address, record);
+        Arc::make_mut(self.pages[number].get_or_insert_default()).put(position, name, address, record);
         self.by_name.insert(hash_of(name), id);
         self.by_destination.insert(hash_of(record.destination), id);
         self.next_id = self.next_id.max(id + 1);
-        self.listed += usize::from(old.is_none());
-        self.ready -= usize::from(old.is_some_and(|old| old.state == State::Ready));
-        self.ready += usize::from(record.state == State::Ready);
+        self.listed_count += usize::from(old.is_none());
+        self.ready_count -= usize::from(old.is_some_and(|old| old.state == RecordState::Ready));
+        self.ready_count += usize::from(record.state == RecordState::Ready);
     }
 
     fn remove(&mut self, id: EndpointId) {
-        let (number, place) = place_of(id);
+        let (number, position) = page_and_position(id);
         let Some(page) = self.pages.get_mut(number).and_then(Option::as_mut) else { return };
-        let Some(record) = page.record(place).copied() else { return };
+        let Some(record) = page.record(position).copied() else { return };
         let name_hash = hash_of(page.name(&record));
-        Arc::make_mut(page).clear(place);
+        Arc::make_mut(page).clear(position);
         if page.is_empty() {
             self.pages[number] = None;
         }
         self.by_name.remove(name_hash, id);
         self.by_destination.remove(hash_of(record.destination), id);
-        self.listed -= 1;
-        self.ready -= usize::from(record.state == State::Ready);
+        self.listed_count -= 1;
+        self.ready_count -= usize::from(record.state == RecordState::Ready);
     }
 }
