--- a/crates/cairnpulley/src/main.rs
+++ b/crates/cairnpulley/src/main.rs
@@ -1,4 +1,4 @@
-//! cairnpulley: the command line of the senders' fleet. Arguments and printing; the work is done in the crates below.
+//! `cairnpulley`, the command line: parses arguments and prints results. The library crates do the work.
 mod logging;
 mod output;
 mod state;
@@ -9,12 +9,12 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(version, about = "Runs and proves fleets of senders")]
+#[command(version, about = "Runs and tests fleets of senders")]
 struct Cli {
-    /// Form of the log, which goes to standard error.
+    /// Format of the log on standard error.
     #[arg(long, value_enum, default_value_t, global = true)]
     log_format: logging::Format,
-    /// What is logged, as `info` or `testbed=debug`.
+    /// Filter of the log, such as `info` or `testbed=debug`.
     #[arg(long, default_value = "warn", global = true)]
     log: String,
     #[command(subcommand)]
@@ -23,79 +23,81 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays the platform round three real senders, with an outage and a SIGKILL, and judges what came of it.
+    /// Plays an experiment with three real senders, an outage and a SIGKILL, and judges the outcome.
     ///
-    /// Exits with 0 if all promises were kept, 1 if one was broken, 3 if the play says nothing of the senders.
-    Demo(Demo),
-    /// The testbed: experiments with real senders.
+    /// Exits with 0 if all rules were kept, 1 if one was broken, 3 if the play is void and says nothing about
+    /// the senders.
+    Demo(DemoArgs),
+    /// Plays experiments, compares them and reports on them.
     #[command(subcommand, alias = "range")]
-    Testbed(Testbed),
-    /// A sender's lasting folder: what it holds, whether it is sound, and ways out of it.
+    Testbed(TestbedCommand),
+    /// Shows, verifies, exports or repairs the state folder of a sender.
     ///
-    /// Exits with 0 if it is sound, 1 if something in it is damaged, 2 if it can't be read or written.
+    /// Exits with 0 if the folder is sound, 1 if something in it is damaged, 2 if it can't be read or
+    /// written.
     #[command(subcommand)]
     State(state::Command),
 }
 
 #[derive(Args)]
-struct Demo {
-    /// How long clients hand messages in.
+struct DemoArgs {
+    /// How many seconds clients hand in messages.
     #[arg(long, default_value_t = 30.0)]
     seconds: f64,
     #[command(flatten)]
-    play: Play,
+    play: PlayArgs,
 }
 
 #[derive(Args)]
-struct Play {
-    /// The seed that everything is drawn from; a new one is drawn and printed if absent.
+struct PlayArgs {
+    /// Seed of all random draws; if absent, a new one is chosen and printed.
     #[arg(long)]
     seed: Option<u64>,
     /// Prints the verdict as JSON on standard output.
     #[arg(long)]
     json: bool,
-    /// The sender's program; that of this build if absent.
+    /// Program of the senders; if absent, that of this build.
     #[arg(long, value_name = "PATH")]
     sender: Option<PathBuf>,
-    /// Keeps facts, plan, verdicts and the senders' folders in this folder, which must not exist yet.
+    /// Writes facts, plan, verdicts and the senders' folders to this folder, which must not exist yet.
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
-enum Testbed {
+enum TestbedCommand {
     /// Plays an experiment with real senders on loopback.
     ///
-    /// Exits as `demo` does.
+    /// The exit codes are those of `demo`.
     Run {
         file: PathBuf,
         #[command(flatten)]
-        play: Play,
-        /// Sets a value of the file, as `traffic.rate=80`; may be given several times.
+        play: PlayArgs,
+        /// Overrides a value of the file, such as `traffic.rate=80`; may be given several times.
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
     },
-    /// Plays an experiment in simulated time, with the senders' decision module alone.
+    /// Plays an experiment in simulated time, with only the decision module of the senders.
     ///
-    /// One seed gives the same figures each time. Exits as `demo` does.
+    /// The same seed gives the same figures each time. The exit codes are those of `demo`.
     Sim {
         file: PathBuf,
-        /// The seed that everything is drawn from; a new one is drawn and printed if absent.
+        /// Seed of all random draws; if absent, a new one is chosen and printed.
         #[arg(long)]
         seed: Option<u64>,
         /// Prints the verdict as JSON on standard output.
         #[arg(long)]
         json: bool,
-        /// Keeps facts, plan and verdicts in this folder, which must not exist yet.
+        /// Writes facts, plan and verdicts to this folder, which must not exist yet.
         #[arg(long, value_name = "DIR")]
         out: Option<PathBuf>,
-        /// Sets a value of the file, as `senders=1000`; may be given several times.
+        /// Overrides a value of the file, such as `senders=1000`; may be given several times.
         #[arg(long, value_name = "KEY=VALUE")]
         set: Vec<String>,
     },
-    /// Compares two folders of plays, paired by seed: is B better than A, worse, or inside the noise?
+    /// Compares two folders of plays, paired by seed: whether B is better than A, worse, or inside the noise.
     ///
-    /// Exits with 1 if B's service is worse, or if it breaks rules where A does not.
+    /// Exits with 1 if B's service is worse, or if more plays of B than of A break rules.
     Compare {
         a: PathBuf,
         b: PathBuf,
@@ -103,14 +105,15 @@
         #[arg(long)]
         json: bool,
     },
-    /// Writes a page about the plays in a folder: verdicts, latency, outcomes and limits over time, faults.
+    /// Writes an HTML page about the plays in a folder: verdicts, faults, and latency, outcomes and limits
+    /// over time.
     Report {
         dir: PathBuf,
-        /// Where the page goes; `report.html` in that folder if absent.
+        /// File of the page; if absent, `report.html` in the folder.
         #[arg(long, value_name = "FILE")]
         to: Option<PathBuf>,
     },
-    /// Reads an experiment, and prints what would be played.
+    /// Checks an experiment and prints its schedule without playing it.
     Check {
         file: PathBuf,
         #[arg(long, default_value_t = 1)]
@@ -120,32 +123,32 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    if let Err(error) = logging::start(cli.log_format, &cli.log) {
+    if let Err(error) = logging::init(cli.log_format, &cli.log) {
         eprintln!("cairnpulley: --log {}: {error}", cli.log);
-        return output::Exit::Usage.into();
+        return output::Exit::Error.into();
     }
-    let done = match cli.command {
+    let result = match cli.command {
         Command::Demo(demo) => testbed::demo(demo.seconds, &demo.play),
-        Command::Testbed(Testbed::Run { file, play, set }) => testbed::run(&file, &set, &play),
-        Command::Testbed(Testbed::Sim { file, seed, json, out, set }) => {
-            testbed::sim(&file, &set, &Play { seed, json, out, sender: None })
+        Command::Testbed(TestbedCommand::Run { file, play, set }) => testbed::run(&file, &set, &play),
+        Command::Testbed(TestbedCommand::Sim { file, seed, json, out, set }) => {
+            testbed::sim(&file, &set, &PlayArgs { seed, json, out, sender: None })
         }
-        Command::Testbed(Testbed::Compare { a, b, json }) => testbed::compare(&a, &b, json),
-        Command::Testbed(Testbed::Report { dir, to }) => testbed::report(&dir, to.as_deref()),
-        Command::Testbed(Testbed::Check { file, seed }) => testbed::check(&file, seed),
+        Command::Testbed(TestbedCommand::Compare { a, b, json }) => testbed::compare(&a, &b, json),
+        Command::Testbed(TestbedCommand::Report { dir, to }) => testbed::report(&dir, to.as_deref()),
+        Command::Testbed(TestbedCommand::Check { file, seed }) => testbed::check(&file, seed),
         Command::State(command) => match state::run(&command) {
             Ok(exit) => return exit.into(),
             Err(error) => {
                 eprintln!("cairnpulley: {error}");
-                return output::Exit::Usage.into();
+                return output::Exit::Error.into();
             }
         },
     };
-    match done {
+    match result {
         Ok(exit) => exit.into(),
         Err(error) => {
             eprintln!("cairnpulley: {error}");
-            output::Exit::Usage.into()
+            output::Exit::Error.into()
         }
     }
 }
--- a/crates/cairnpulley/src/state.rs
+++ b/crates/cairnpulley/src/state.rs
@@ -1,4 +1,4 @@
-//! `cairnpulley state`: what a sender's lasting folder holds, whether it is sound, and ways out of it.
+//! `cairnpulley state`: shows, verifies, exports and repairs the state folder of a sender.
 use crate::output::Exit;
 use clap::{Subcommand, ValueEnum};
 use comfy_table::{presets, Table};
@@ -12,65 +12,71 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Shows whose folder it is, its form, and what is owed.
+    /// Shows the sender, the format and the pending messages of a folder.
     Show {
         dir: PathBuf,
-        /// Shows each message.
+        /// Lists each message.
         #[arg(long)]
         messages: bool,
         /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Checks every record. Exits with 0 if all is sound but for a tail that a crash has torn, with 1 if there is damage.
+    /// Checks every record. Exits with 0 if the folder is sound, which includes a tail torn by a crash, and
+    /// with 1 if it is damaged.
     Verify {
         dir: PathBuf,
         /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Writes what is owed to a file. Refused while a sender owns the folder.
+    /// Writes the pending messages to a file. Refused while a sender owns the folder.
     Export {
         dir: PathBuf,
-        /// A file that does not exist yet.
+        /// File to write, which must not exist yet.
         #[arg(long, value_name = "FILE")]
         to: PathBuf,
+        /// Format of the file.
         #[arg(long = "as", value_enum, default_value_t)]
-        form: Export,
+        form: ExportFormat,
     },
-    /// Writes all that can be read to a new folder; the damaged one stays as it is. Refused while a sender owns it.
+    /// Writes everything that can be read to a new folder, without changing the damaged one. Refused while a
+    /// sender owns the folder.
     Repair {
         dir: PathBuf,
-        /// A folder that is empty or does not exist yet.
+        /// Folder to write, which must be empty or not exist yet.
         #[arg(long, value_name = "DIR")]
         to: PathBuf,
-        /// The sender's name, where the folder does not say it.
+        /// Name of the sender, if the folder does not contain it.
         #[arg(long)]
         owner: Option<String>,
     },
 }
 
+/// Format of an export.
 #[derive(Clone, Copy, Debug, Default, ValueEnum)]
-pub enum Export {
-    /// One message a line, without its body.
+pub enum ExportFormat {
+    /// One JSON object per message and line, without the body.
     #[default]
     JsonLines,
-    /// The single file of versions before the log: the way back to one of them, as `journal` in its folder.
+    /// The single file of versions before the log. Such a version reads it as `journal` in its state folder.
     JournalFile,
 }
 
+/// Why a command on a state folder failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
     #[error(transparent)]
     Folder(#[from] FolderError),
     #[error("{path}: {error}", path = path.display())]
     Io { path: PathBuf, error: io::Error },
-    #[error("{dir}: a sender owns it; end that first", dir = dir.display())]
+    #[error("{dir}: a sender owns it; stop that sender first", dir = dir.display())]
     Owned { dir: PathBuf },
-    #[error("{dir}: it does not say whose it is; name the sender with --owner", dir = dir.display())]
-    NoOwner { dir: PathBuf },
+    #[error("{dir}: the folder does not name its sender; give the name with --owner", dir = dir.display())]
+    UnknownOwner { dir: PathBuf },
 }
 
+/// Runs a command.
 pub fn run(command: &Command) -> Result<Exit, StateError> {
     match command {
         Command::Show { dir, messages, json } => show(dir, *messages, *json),
@@ -80,7 +86,8 @@
     }
 }
 
-fn facts(state: &State, owned: bool) -> serde_json::Value {
+/// What `show` and `verify` print as JSON.
+fn summary_json(state: &State, owned: bool) -> serde_json::Value {
     json!({
         "schema": 1, "form": state.form, "owner": state.owner, "owned_now": owned, "segments": state.segments,
         "bytes": state.bytes, "records": state.records, "messages": state.book.owed().len(),
@@ -88,14 +95,17 @@
     })
 }
 
-fn print_head(dir: &Path, state: &State, owned: bool) {
+/// Prints what is known of the folder as a whole.
+fn print_summary(dir: &Path, state: &State, owned: bool) {
     let form = match state.form {
         Form::Empty => "empty",
-        Form::JournalFile => "journal file (the next start takes it over into a log, which is no way back)",
+        Form::JournalFile => {
+            "journal file (the next start converts it to a log, which older versions can't read)"
+        }
         Form::Log => "log",
     };
     println!("{}: {form}", dir.display());
-    println!("  sender    {}", state.owner.as_deref().unwrap_or("(not said)"));
+    println!("  sender    {}", state.owner.as_deref().unwrap_or("(unknown)"));
     if owned {
         println!("  a sender owns it: what it writes at this moment may look torn");
     }
@@ -110,21 +120,21 @@
     let (state, owned) = (folder::read(dir)?, folder::is_owned(dir)?);
     let shown: Vec<Shown> = state.book.owed().values().map(Shown::from).collect();
     if json {
-        let mut facts = facts(&state, owned);
+        let mut summary = summary_json(&state, owned);
         if messages {
-            facts["list"] = json!(shown);
+            summary["list"] = json!(shown);
         }
-        println!("{facts:#}");
-        return Ok(Exit::Kept);
+        println!("{summary:#}");
+        return Ok(Exit::Success);
     }
-    print_head(dir, &state, owned);
+    print_summary(dir, &state, owned);
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
     if messages {
         table.set_header(["message", "class", "dest", "deadline (Unix ms)", "bytes", "attempts", "decided"]);
         for m in &shown {
-            let ran = m.attempts.iter().filter(|a| a.may_have_run).count();
-            let attempts = format!("{} ({ran} may have run)", m.attempts.len());
+            let may_have_run = m.attempts.iter().filter(|a| a.may_have_run).count();
+            let attempts = format!("{} ({may_have_run} may have run)", m.attempts.len());
             let decided = m.decided.unwrap_or("").to_string();
             let (dest, end, bytes) =
                 (m.dest.to_string(), m.deadline_ms.to_string(), m.body_bytes.to_string());
@@ -136,8 +146,8 @@
         for m in &shown {
             let sum = sums.entry((m.class, m.dest)).or_default();
             let sent = m.attempts.iter().any(|a| a.may_have_run);
-            let each = [1, usize::from(sent), usize::from(m.decided.is_some())];
-            sum.iter_mut().zip(each).for_each(|(sum, one)| *sum += one);
+            let counts = [1, usize::from(sent), usize::from(m.decided.is_some())];
+            sum.iter_mut().zip(counts).for_each(|(sum, one)| *sum += one);
         }
         for ((class, dest), [count, sent, decided]) in sums {
             let counts = [count, sent, decided].map(|n| n.to_string());
@@ -147,21 +157,21 @@
     if !shown.is_empty() {
         println!("{table}");
     }
-    Ok(Exit::Kept)
+    Ok(Exit::Success)
 }
 
 fn verify(dir: &Path, json: bool) -> Result<Exit, StateError> {
     let (state, owned) = (folder::read(dir)?, folder::is_owned(dir)?);
     let sound = state.faults.iter().all(|f| f.expected);
     if json {
-        let mut facts = facts(&state, owned);
-        facts["sound"] = json!(sound);
-        println!("{facts:#}");
+        let mut summary = summary_json(&state, owned);
+        summary["sound"] = json!(sound);
+        println!("{summary:#}");
     } else {
-        print_head(dir, &state, owned);
+        print_summary(dir, &state, owned);
         println!("{}", if sound { "sound" } else { "DAMAGED" });
     }
-    Ok(if sound { Exit::Kept } else { Exit::Broken })
+    Ok(if sound { Exit::Success } else { Exit::Failure })
 }
 
 fn read_unowned(dir: &Path) -> Result<State, StateError> {
@@ -171,38 +181,39 @@
     Ok(folder::read(dir)?)
 }
 
-fn export(dir: &Path, to: &Path, form: Export) -> Result<Exit, StateError> {
+fn export(dir: &Path, to: &Path, form: ExportFormat) -> Result<Exit, StateError> {
     let state = read_unowned(dir)?;
     let bytes = match form {
-        Export::JournalFile => journal_file::write(state.book.owed().values()),
-        Export::JsonLines => {
+        ExportFormat::JournalFile => journal_file::write(state.book.owed().values()),
+        ExportFormat::JsonLines => {
             let line = |o| format!("{}\n", json!(Shown::from(o)));
             state.book.owed().values().map(line).collect::<String>().into_bytes()
         }
     };
-    let written = File::create_new(to).and_then(|mut file| {
+    let result = File::create_new(to).and_then(|mut file| {
         file.write_all(&bytes)?;
         file.sync_all()
     });
-    written.map_err(|error| StateError::Io { path: to.to_path_buf(), error })?;
+    result.map_err(|error| StateError::Io { path: to.to_path_buf(), error })?;
     println!("{}: {} messages", to.display(), state.book.owed().len());
-    Ok(told(&state))
+    Ok(report_left_out(&state))
 }
 
 fn repair(dir: &Path, to: &Path, owner: Option<&str>) -> Result<Exit, StateError> {
     let state = read_unowned(dir)?;
-    let owner = owner.or(state.owner.as_deref()).ok_or(StateError::NoOwner { dir: dir.to_path_buf() })?;
+    let owner =
+        owner.or(state.owner.as_deref()).ok_or(StateError::UnknownOwner { dir: dir.to_path_buf() })?;
     folder::write(dir, &state.book, owner, to)?;
     println!("{}: {} messages of {owner}", to.display(), state.book.owed().len());
-    Ok(told(&state))
+    Ok(report_left_out(&state))
 }
 
-/// What could not be read is told wherever something was made of the rest.
-fn told(state: &State) -> Exit {
-    let mut exit = Exit::Kept;
+/// Prints the damage that an export or a repair left out, and returns the exit code.
+fn report_left_out(state: &State) -> Exit {
+    let mut exit = Exit::Success;
     for fault in state.faults.iter().filter(|f| !f.expected) {
         println!("left out: {}", fault.what);
-        exit = Exit::Broken;
+        exit = Exit::Failure;
     }
     exit
 }
--- a/crates/cairnpulley/src/testbed.rs
+++ b/crates/cairnpulley/src/testbed.rs
@@ -1,6 +1,6 @@
-//! `cairnpulley demo` and `cairnpulley testbed`.
+//! `cairnpulley demo` and `cairnpulley testbed`: plays experiments, compares plays and reports on them.
 use crate::output::{self, Exit};
-use crate::Play;
+use crate::PlayArgs;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -16,10 +16,12 @@
 use testbed::spec::{Spec, SpecError};
 use tokio::sync::watch;
 
-const DEMO: &str = include_str!("../../../experiments/demo.toml");
+/// Experiment of `cairnpulley demo`.
+const DEMO_EXPERIMENT: &str = include_str!("../../../experiments/demo.toml");
 
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
-pub enum RangeError {
+pub enum TestbedError {
     #[error(transparent)]
     Spec(#[from] SpecError),
     #[error(transparent)]
@@ -36,76 +38,83 @@
     Write { path: PathBuf, error: io::Error },
     #[error(transparent)]
     Record(#[from] record::RecordError),
-    #[error("no folder for the senders: {0}")]
-    Work(io::Error),
-    #[error("the runtime can't start: {0}")]
+    #[error("cannot create a temporary folder for the senders: {0}")]
+    ScratchFolder(io::Error),
+    #[error("cannot start the async runtime: {0}")]
     Runtime(io::Error),
-    #[error("the verdict can't be printed: {0}")]
+    #[error("cannot print JSON: {0}")]
     Json(#[from] serde_json::Error),
     #[error("--seconds {0} is not between 1 and 3600")]
     Seconds(f64),
 }
 
-pub fn demo(seconds: f64, options: &Play) -> Result<Exit, RangeError> {
+/// Plays the demo experiment, scaled to a length in seconds.
+pub fn demo(seconds: f64, options: &PlayArgs) -> Result<Exit, TestbedError> {
     if !(1.0..=3_600.0).contains(&seconds) {
-        return Err(RangeError::Seconds(seconds));
+        return Err(TestbedError::Seconds(seconds));
     }
-    let mut spec = Spec::parse(Path::new("demo.toml"), DEMO)?;
-    // Events keep their places in a shorter or longer play, and outages their part of it; a process is always
-    // started again as soon.
-    let by = seconds / spec.seconds;
+    let mut spec = Spec::parse(Path::new("demo.toml"), DEMO_EXPERIMENT)?;
+    // Scales when events begin and how long outages last. Events of senders keep their duration, so that a
+    // process is always restarted after the same time.
+    let scale = seconds / spec.seconds;
     spec.seconds = seconds;
     for event in &mut spec.event {
-        event.at *= by;
+        event.at *= scale;
         if !event.what.get_ref().of_senders() {
-            event.lasts *= by;
+            event.lasts *= scale;
         }
     }
     play_all(&spec, options)
 }
 
-pub fn run(file: &Path, set: &[String], options: &Play) -> Result<Exit, RangeError> {
-    play_all(&read(file, set)?, options)
+/// Plays an experiment with real senders.
+pub fn run(file: &Path, overrides: &[String], options: &PlayArgs) -> Result<Exit, TestbedError> {
+    play_all(&read_spec(file, overrides)?, options)
 }
 
-pub fn sim(file: &Path, set: &[String], options: &Play) -> Result<Exit, RangeError> {
-    let spec = read(file, set)?;
-    all_seeds(&spec, options, |plan, _| {
+/// Plays an experiment in simulated time.
+pub fn sim(file: &Path, overrides: &[String], options: &PlayArgs) -> Result<Exit, TestbedError> {
+    let spec = read_spec(file, overrides)?;
+    play_all_seeds(&spec, options, |plan, _| {
         let Simulated { verdict, facts } = sim::simulate(plan)?;
         Ok(Some(Played { verdict, facts }))
     })
 }
 
-fn read(file: &Path, set: &[String]) -> Result<Spec, RangeError> {
+/// Reads an experiment and applies overrides such as `traffic.rate=80`.
+fn read_spec(file: &Path, overrides: &[String]) -> Result<Spec, TestbedError> {
     let mut spec = Spec::read(file)?;
-    for assignment in set {
+    for assignment in overrides {
         spec = spec.set(assignment)?;
     }
     Ok(spec)
 }
 
-pub fn compare(a: &Path, b: &Path, json: bool) -> Result<Exit, RangeError> {
-    let of = |path: &Path| record::Folder::open(path).verdicts();
-    let compared = compare::compare(&of(a)?, &of(b)?)?;
+/// Compares two folders of plays.
+pub fn compare(a: &Path, b: &Path, json: bool) -> Result<Exit, TestbedError> {
+    let verdicts = |path: &Path| record::Folder::open(path).verdicts();
+    let comparison = compare::compare(&verdicts(a)?, &verdicts(b)?)?;
     match json {
-        true => println!("{}", serde_json::to_string_pretty(&compared)?),
-        false => output::print_comparison(&compared),
+        true => println!("{}", serde_json::to_string_pretty(&comparison)?),
+        false => output::print_comparison(&comparison),
     }
-    let [broken_a, broken_b] = compared.broken;
-    let worse = compared.lines.first().is_some_and(|line| line.word == Word::Worse);
-    Ok(if worse || broken_b > broken_a { Exit::Broken } else { Exit::Kept })
+    let [broken_a, broken_b] = comparison.broken;
+    let worse = comparison.lines.first().is_some_and(|line| line.word == Word::Worse);
+    Ok(if worse || broken_b > broken_a { Exit::Failure } else { Exit::Success })
 }
 
-pub fn report(dir: &Path, to: Option<&Path>) -> Result<Exit, RangeError> {
+/// Writes the page about a folder of plays.
+pub fn report(dir: &Path, to: Option<&Path>) -> Result<Exit, TestbedError> {
     let page = report::page(&record::Folder::open(dir))
-        .map_err(|error| RangeError::Report { dir: dir.to_path_buf(), error })?;
+        .map_err(|error| TestbedError::Report { dir: dir.to_path_buf(), error })?;
     let to = to.map_or_else(|| dir.join("report.html"), Path::to_path_buf);
-    std::fs::write(&to, page).map_err(|error| RangeError::Write { path: to.clone(), error })?;
+    std::fs::write(&to, page).map_err(|error| TestbedError::Write { path: to.clone(), error })?;
     println!("{}", to.display());
-    Ok(Exit::Kept)
+    Ok(Exit::Success)
 }
 
-pub fn check(file: &Path, seed: u64) -> Result<Exit, RangeError> {
+/// Prints the schedule that a seed draws from an experiment.
+pub fn check(file: &Path, seed: u64) -> Result<Exit, TestbedError> {
     let spec = Spec::read(file)?;
     let plan = Plan::draw(&spec, Seed(seed));
     println!(
@@ -120,48 +129,49 @@
     for step in &plan.schedule {
         println!("{:8.3} s  {}", step.at as f64 / SECOND as f64, serde_json::to_string(&step.does)?);
     }
-    Ok(Exit::Kept)
+    Ok(Exit::Success)
 }
 
-fn play_all(spec: &Spec, options: &Play) -> Result<Exit, RangeError> {
+/// Plays all repetitions of an experiment with real senders.
+fn play_all(spec: &Spec, options: &PlayArgs) -> Result<Exit, TestbedError> {
     let program = program::find(options.sender.as_deref().or(spec.program.path.as_deref()))?;
     let runtime =
-        tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(RangeError::Runtime)?;
-    all_seeds(spec, options, |plan, out| {
-        let scratch = tempfile::tempdir().map_err(RangeError::Work)?;
-        let work = match out {
+        tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(TestbedError::Runtime)?;
+    play_all_seeds(spec, options, |plan, out| {
+        let scratch = tempfile::tempdir().map_err(TestbedError::ScratchFolder)?;
+        let work_folder = match out {
             Some(out) => out.work(plan.seed.0)?,
             None => scratch.path().to_path_buf(),
         };
-        runtime.block_on(one(plan, program.clone(), work))
+        runtime.block_on(play_once(plan, program.clone(), work_folder))
     })
 }
 
-/// Plays each repetition by `play`, which gives none where the user has broken it off.
-fn all_seeds(
+/// Plays each repetition by `play`, which returns `None` if the user interrupted it.
+fn play_all_seeds(
     spec: &Spec,
-    options: &Play,
-    play: impl Fn(&Arc<Plan>, Option<&record::Folder>) -> Result<Option<Played>, RangeError>,
-) -> Result<Exit, RangeError> {
-    let first = options.seed.unwrap_or_else(new_seed);
+    options: &PlayArgs,
+    play: impl Fn(&Arc<Plan>, Option<&record::Folder>) -> Result<Option<Played>, TestbedError>,
+) -> Result<Exit, TestbedError> {
+    let first_seed = options.seed.unwrap_or_else(new_seed);
     let out = options.out.as_deref().map(record::Folder::create).transpose()?;
-    let mut worst = Exit::Kept;
+    let mut worst = Exit::Success;
     let mut verdicts = Vec::new();
-    for seed in (first..).take(spec.repetitions as usize) {
+    for seed in (first_seed..).take(spec.repetitions as usize) {
         eprintln!("seed {seed}");
         let plan = Arc::new(Plan::draw(spec, Seed(seed)));
         let Some(played) = play(&plan, out.as_ref())? else { return Ok(Exit::Interrupted) };
         if !options.json {
-            output::print(&played.verdict);
+            output::print_verdict(&played.verdict);
         }
-        // After the verdict, which a full disk must not cost.
+        // After the verdict was printed, so that a full disk does not lose it.
         if let Some(out) = &out {
             out.keep(&plan, &played)?;
         }
-        worst = match (worst, Exit::of(&played.verdict)) {
-            (Exit::Broken, _) | (_, Exit::Broken) => Exit::Broken,
+        worst = match (worst, Exit::for_verdict(&played.verdict)) {
+            (Exit::Failure, _) | (_, Exit::Failure) => Exit::Failure,
             (Exit::Void, _) | (_, Exit::Void) => Exit::Void,
-            _ => Exit::Kept,
+            _ => Exit::Success,
         };
         verdicts.push(played.verdict);
     }
@@ -174,22 +184,27 @@
     Ok(worst)
 }
 
-/// Plays once; none if the user has broken it off. The senders end with the play's future either way.
-async fn one(plan: &Arc<Plan>, program: PathBuf, work: PathBuf) -> Result<Option<Played>, RangeError> {
+/// Plays once; returns `None` if the user interrupted the play. Either way the senders end with the future of
+/// the play.
+async fn play_once(
+    plan: &Arc<Plan>,
+    program: PathBuf,
+    work_folder: PathBuf,
+) -> Result<Option<Played>, TestbedError> {
     let progress = watch::Sender::new(Progress::Starting { ready: 0 });
-    let shown = output::show(progress.subscribe(), plan.senders.len(), plan.spec.seconds);
+    let display = output::show_progress(progress.subscribe(), plan.senders.len(), plan.spec.seconds);
     let played = async {
-        let played = play::play(plan, &program, &work, &progress).await;
+        let played = play::play(plan, &program, &work_folder, &progress).await;
         progress.send_replace(Progress::Over);
         played
     };
     tokio::select! {
-        (played, ()) = async { tokio::join!(played, shown) } => Ok(Some(played?)),
+        (played, ()) = async { tokio::join!(played, display) } => Ok(Some(played?)),
         _ = tokio::signal::ctrl_c() => Ok(None),
     }
 }
 
-/// From the clock: any number that differs from play to play.
+/// A seed from the clock, so that it differs from play to play.
 fn new_seed() -> u64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     now.map_or(0, |d| d.as_micros() as u64 % 1_000_000_007)
