--- a/crates/catalogue/examples/footprint.rs
+++ b/crates/catalogue/examples/footprint.rs
@@ -1,8 +1,9 @@
-//! What a catalogue costs by size: bytes held, time to take a whole list in, to apply one change, and to look up.
+//! Measures a catalogue by size: its memory, and the time to read a whole list, to apply one change and to
+//! look up a destination.
 //!
 //!     cargo run --release -p catalogue --example footprint -- 30 1000 10000 100000 350000
 //!
-//! One JSON object a line.
+//! The arguments are numbers of destinations. Prints one JSON object per size and line.
 
 use catalogue::{intake, Catalogue, Limits};
 use std::alloc::{GlobalAlloc, Layout, System};
@@ -11,30 +12,34 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-struct Counting;
+/// Counts the heap memory of the process.
+struct CountingAllocator;
 
-static HELD: AtomicUsize = AtomicUsize::new(0);
-static MOST: AtomicUsize = AtomicUsize::new(0);
+static HEAP_BYTES: AtomicUsize = AtomicUsize::new(0);
+static PEAK_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        let held = HELD.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
-        MOST.fetch_max(held, Ordering::Relaxed);
+        let heap_bytes = HEAP_BYTES.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
+        PEAK_BYTES.fetch_max(heap_bytes, Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size(), Ordering::Relaxed);
+        HEAP_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
+/// Lookups per measurement.
 const LOOKUPS: u64 = 100_000;
+/// Changes per measurement.
 const CHANGES: u64 = 1_000;
 
-fn entry(text: &mut String, number: u64, lifecycle: &str) {
+/// Appends the entry of one endpoint, of a destination of its own.
+fn push_entry(text: &mut String, number: u64, lifecycle: &str) {
     let [_, b, c, d] = (number as u32).to_be_bytes();
     let name = (number as u32).wrapping_mul(2_654_435_761);
     let _ = write!(
@@ -44,40 +49,44 @@
     );
 }
 
-fn whole(size: u64) -> String {
+/// A whole list of `size` destinations.
+fn whole_list(size: u64) -> String {
     let mut text = String::from(r#"{"generation":1,"reset":true,"instances":["#);
     for number in 0..size {
         if number > 0 {
             text.push(',');
         }
-        entry(&mut text, number, "Ready");
+        push_entry(&mut text, number, "Ready");
     }
     text + "]}"
 }
 
-fn change(generation: u64, number: u64) -> String {
+/// A list with one change.
+fn change_list(generation: u64, number: u64) -> String {
     let mut text = format!(r#"{{"generation":{generation},"reset":false,"instances":["#);
-    entry(&mut text, number, "Terminating");
+    push_entry(&mut text, number, "Terminating");
     text + "]}"
 }
 
+/// Measures one size and prints the result.
 fn measure(size: u64) {
     let limits = Limits::unlimited();
-    let list = whole(size);
-    let before = HELD.load(Ordering::Relaxed);
-    MOST.store(before, Ordering::Relaxed);
+    let list = whole_list(size);
+    let before = HEAP_BYTES.load(Ordering::Relaxed);
+    PEAK_BYTES.store(before, Ordering::Relaxed);
     let started = Instant::now();
     let mut catalogue =
-        intake::read(list.as_bytes(), &Catalogue::default(), &limits).expect("a list").catalogue;
+        intake::read(list.as_bytes(), &Catalogue::default(), &limits).expect("the list is valid").catalogue;
     let whole_ms = started.elapsed().as_secs_f64() * 1e3;
-    let bytes = HELD.load(Ordering::Relaxed) - before;
-    let peak = MOST.load(Ordering::Relaxed) - before;
+    let bytes = HEAP_BYTES.load(Ordering::Relaxed) - before;
+    let peak = PEAK_BYTES.load(Ordering::Relaxed) - before;
 
-    let changes: Vec<String> = (0..CHANGES).map(|n| change(2 + n, n * 7_919 % size)).collect();
+    let changes: Vec<String> = (0..CHANGES).map(|n| change_list(2 + n, n * 7_919 % size)).collect();
     let reader = catalogue.clone();
     let started = Instant::now();
     for change in &changes {
-        catalogue = intake::read(change.as_bytes(), &catalogue, &limits).expect("a change").catalogue;
+        catalogue =
+            intake::read(change.as_bytes(), &catalogue, &limits).expect("the change is valid").catalogue;
     }
     let change_us = started.elapsed().as_secs_f64() * 1e6 / CHANGES as f64;
 
@@ -97,8 +106,10 @@
 }
 
 fn main() {
-    let sizes: Vec<u64> =
-        std::env::args().skip(1).map(|size| size.parse().expect("a number of destinations")).collect();
+    let sizes: Vec<u64> = std::env::args()
+        .skip(1)
+        .map(|size| size.parse().expect("arguments are numbers of destinations"))
+        .collect();
     for size in if sizes.is_empty() { vec![30, 1_000, 10_000, 100_000, 350_000] } else { sizes } {
         measure(size.max(1));
     }
