--- a/crates/catalogue/src/intake/bounded_reader.rs
+++ b/crates/catalogue/src/intake/bounded_reader.rs
@@ -4,7 +4,8 @@
 use std::io::{BufReader, Error, Read, Result};
 use std::rc::Rc;
 
-/// Most bytes from the end of one entry to the end of the next, so that no single entry fills the memory.
+/// Maximum number of bytes from the end of one entry to the end of the next, so that no single entry fills
+/// the memory.
 pub(super) const MAX_ENTRY_BYTES: u64 = 1 << 20;
 /// Capacity of the read buffer.
 const BUFFER_BYTES: usize = 16 << 10;
--- a/crates/catalogue/src/intake/builder.rs
+++ b/crates/catalogue/src/intake/builder.rs
@@ -46,7 +46,7 @@
     /// Adds one entry. An entry that can't be read is counted and left out.
     pub(super) fn add_entry(&mut self, text: &str) -> Result<(), LimitExceeded> {
         if self.reset && self.entries + self.unreadable == 0 {
-            // A whole list is mostly as long as the one before.
+            // Whole lists are mostly about as long as the one before.
             self.listed.reserve(self.current.len());
         }
         let fields = Fields::parse(text);
--- a/crates/catalogue/src/interner.rs
+++ b/crates/catalogue/src/interner.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Longest string that is interned, in bytes.
+/// Maximum length of an interned string.
 const MAX_STRING_BYTES: usize = 256;
 
 /// Strings and their numbers, which count from 0.
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -20,7 +20,7 @@
 /// Number of a destination.
 pub type DestinationId = u64;
 
-/// Longest name of an endpoint; entries of a list with longer names are left out.
+/// Maximum length of an endpoint's name; entries of a list with longer names are left out.
 pub const MAX_NAME_BYTES: usize = 64;
 
 /// Size of the two reference counts that an `Arc` allocates next to its value.
--- a/crates/catalogue/src/limits.rs
+++ b/crates/catalogue/src/limits.rs
@@ -6,9 +6,9 @@
 /// Limits on the size of a catalogue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Most endpoints listed.
+    /// Maximum number of listed endpoints.
     pub max_entries: usize,
-    /// Most memory of one snapshot, as counted by [`crate::Catalogue::heap_bytes`].
+    /// Maximum memory of one snapshot in bytes, as counted by [`crate::Catalogue::heap_bytes`].
     pub max_bytes: usize,
 }
 
--- a/crates/catalogue/src/page.rs
+++ b/crates/catalogue/src/page.rs
@@ -3,7 +3,7 @@
 use crate::{Lifecycle, ARC_COUNTS_BYTES};
 use std::net::{IpAddr, SocketAddr};
 
-/// Most records in a page.
+/// Maximum number of records in a page.
 pub(crate) const PAGE_RECORDS: usize = 128;
 
 /// One endpoint. Zone and machine type are numbers of interned strings.
--- a/crates/catalogue/src/removed_names.rs
+++ b/crates/catalogue/src/removed_names.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// Most names remembered; the earliest removed are forgotten first.
+/// Maximum number of remembered names; the earliest removed are forgotten first.
 pub(crate) const CAPACITY: usize = 1_024;
 
 /// The removed names and their numbers.
--- a/crates/store/src/folder_scan.rs
+++ b/crates/store/src/folder_scan.rs
@@ -1,5 +1,5 @@
 //! Reads the folder of a log without changing it: the manifest, the segments and their records in order.
-//! Damage is classified by what it can have lost.
+//! Damage is classified, which tells a tail torn by a crash from lost records.
 use crate::file_system::FileSystem;
 use crate::frame::{self, Record, FORMAT_VERSION, SEGMENT_HEADER_BYTES};
 use crate::segment_scan::scan_segment;
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -16,9 +16,9 @@
 pub const SEGMENT_HEADER_BYTES: usize = 96;
 /// Length of what precedes the payload in a record.
 pub const RECORD_HEADER_BYTES: usize = 25;
-/// Longest name of an owner.
+/// Maximum length of an owner's name.
 pub const MAX_OWNER_BYTES: usize = 64;
-/// Longest payload: a message body of 64 KiB with its metadata and attempts fits.
+/// Maximum length of a payload: a message body of 64 KiB with its metadata and attempts fits.
 pub const MAX_PAYLOAD_BYTES: usize = 256 << 10;
 
 /// What a record does to the state of its key.
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -22,12 +22,12 @@
 pub struct LogConfig {
     /// Name of the folder's owner, of 64 bytes at most. The folder of another owner is refused.
     pub owner: String,
-    /// Most disk space of all files together, each counted in whole blocks.
+    /// Limit on the disk space of all files together, each counted in whole blocks.
     pub max_bytes: u64,
     /// Longest payload that may be appended, 256 KiB at most.
     pub max_payload_bytes: usize,
-    /// Whether the log syncs the folder and the records that cleaning moves, so that nothing synced is lost
-    /// with the power.
+    /// Whether the log syncs names, headers and moved records by itself, so that a loss of power loses
+    /// nothing that was synced.
     pub durable: bool,
 }
 
@@ -53,6 +53,7 @@
 pub struct Entry<'a> {
     pub key: u64,
     pub operation: Operation,
+    /// The bytes to store, in a form that only the user of the log knows.
     pub payload: &'a [u8],
 }
 
@@ -87,6 +88,7 @@
 pub struct Log<F: FileSystem> {
     files: F,
     config: LogConfig,
+    /// Length up to which a segment is filled, in bytes.
     segment_size: u64,
     index: SegmentIndex,
     /// Number and file of the segment that is appended to.
@@ -329,7 +331,7 @@
         result
     }
 
-    /// Bytes that headers and partly filled blocks add to `bytes_needed`, at most.
+    /// Allowance for segment headers and partly filled blocks when `bytes_needed` bytes are written.
     fn overhead(&self, bytes_needed: u64) -> u64 {
         (bytes_needed / self.segment_size + 2) * (SEGMENT_HEADER_BYTES as u64 + BLOCK_BYTES)
     }
@@ -434,6 +436,7 @@
         self.sync_directory()
     }
 
+    /// Syncs the folder if the log is `durable`.
     fn sync_directory(&self) -> io::Result<()> {
         match self.config.durable {
             true => self.files.sync_directory(),
--- a/crates/store/src/segment_scan.rs
+++ b/crates/store/src/segment_scan.rs
@@ -27,7 +27,7 @@
         return scan;
     }
     let mut offset = SEGMENT_HEADER_BYTES;
-    // Without a header, the first record continues after `last` or, behind damage, has any higher sequence
+    // Without a header, the first record continues after `last` or, after damage, has any higher sequence
     // number.
     let first = scan.header.as_ref().map_or(last + 1, |h| h.first_sequence);
     let mut next = first;
