--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -54,6 +54,7 @@
 /// One record, with its payload borrowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record<'a> {
+    /// Counts the records of the log, across segments.
     pub sequence: u64,
     pub key: u64,
     pub operation: Operation,
