--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,20 +1,23 @@
-//! Proving ground: the platform's stand-ins on loopback round real senders, with faults, load and a judge.
+//! The testbed: plays experiments against real senders on loopback, or against the decision module in
+//! simulated time.
 //!
-//! `docs/design/proving-ground.md` says what is promised. The cores (`platform`, `judge`, `score`, `plan`) take
-//! time and randomness as arguments; `endpoints`, `discovery`, `clients`, `strangers` and `process` are the
-//! sockets and processes that feed them; `play` puts them together.
+//! A play has a stub platform, clients, faults and a judge; `docs/design/proving-ground.md` says what is
+//! checked. `spec` reads an experiment, and `plan` draws all of a play from it and a seed. `platform`,
+//! `judge` and `score` are pure logic that takes time and randomness as arguments. `endpoints`, `discovery`,
+//! `clients`, `faulty_clients` and `process` are the sockets and processes around it, and `play` runs them; `sim`
+//! plays in simulated time. `scale` and `capacity` measure large deployments.
 pub mod addresses;
 pub mod capacity;
+pub mod client_retry;
 pub mod clients;
 pub mod clock;
 pub mod compare;
 pub mod discovery;
 pub mod endpoints;
-pub mod habits;
+pub mod facts;
+pub mod faulty_clients;
 pub mod http;
 pub mod judge;
-pub mod lateness;
-pub mod ledger;
 pub mod links;
 pub mod machine;
 pub mod messages;
@@ -27,8 +30,8 @@
 pub mod relay;
 pub mod report;
 pub mod scale;
+pub mod scheduling_lag;
 pub mod score;
 pub mod seed;
 pub mod sim;
 pub mod spec;
-pub mod strangers;
--- a/crates/testbed/src/scale/fleet.rs
+++ b/crates/testbed/src/scale/fleet.rs
@@ -7,9 +7,9 @@
 use super::deployment::{zone_name, MACHINE_TYPES, REGIONS, ZONES};
 use super::real_sender;
 use crate::clock::Clock;
-use crate::http::{Link, Start};
+use crate::http::{Connection, Start};
 use crate::seed::Seed;
-use catalogue::intake::{self, Taken};
+use catalogue::intake::{self, LoadedList};
 use catalogue::{Catalogue, Limits};
 use hdrhistogram::Histogram;
 use rand::RngExt;
@@ -242,9 +242,9 @@
         }
     }
 
-    async fn get(&self, link: &mut Option<Link>, wait: Duration) -> Option<Vec<u8>> {
+    async fn get(&self, link: &mut Option<Connection>, wait: Duration) -> Option<Vec<u8>> {
         if link.is_none() {
-            *link = Some(Link::new(TcpStream::connect(self.discovery).await.ok()?, self.clock));
+            *link = Some(Connection::new(TcpStream::connect(self.discovery).await.ok()?, self.clock));
         }
         let open = link.as_mut()?;
         let index = self.catalogue.generation().unwrap_or_default();
@@ -254,13 +254,13 @@
             self.discovery
         );
         open.write(request.as_bytes()).await.ok()?;
-        let answer = open.read_answer().await.ok()?;
+        let answer = open.read_response().await.ok()?;
         (answer.start == Start::Status(200)).then_some(answer.body)
     }
 
     /// Puts a list in force.
     fn take(&mut self, body: &[u8]) -> bool {
-        let limits = Limits::of_memory((real_sender::MEMORY_MB << 20) as usize);
+        let limits = Limits::for_memory((real_sender::MEMORY_MB << 20) as usize);
         let Ok(taken) = intake::read(body, &self.catalogue, &limits) else { return false };
         let (generation, changed) = (taken.generation, taken.reset || !taken.changed.is_empty());
         if changed {
@@ -270,7 +270,7 @@
         true
     }
 
-    fn apply(&mut self, taken: Taken) {
+    fn apply(&mut self, taken: LoadedList) {
         self.catalogue = taken.catalogue;
         let listed = CatalogueDirectory { catalogue: &self.catalogue, names: &self.words };
         let mut events: Vec<Event> = Vec::new();
--- a/tests/sender.rs
+++ b/tests/sender.rs
@@ -1,4 +1,4 @@
-//! The real sender against small peers over loopback: every verdict waits for an event, none for a clock.
+//! The real sender against stub servers over loopback. Tests wait for events, not for fixed times.
 mod peers;
 use base64::Engine;
 use peers::*;
@@ -10,18 +10,18 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The first call gets `first`, all others 200.
+/// An endpoint that answers its first call with `first` and all others with 200.
 fn first_then_ok(first: impl Fn() -> Reply + Send + Sync + 'static) -> Peer {
     let calls = AtomicUsize::new(0);
     Peer::new(move |_| if calls.fetch_add(1, Ordering::SeqCst) == 0 { first() } else { ok() })
 }
 
-/// A message is over once it was called for, and the next process owes nothing for it.
-fn one_call_ends_it_for_good(endpoint: &Peer, class: &str) {
-    let (discovery, mut node) = one_endpoint(endpoint);
+/// Checks that a message ends with its first call, and that the next process neither sends it nor reports it.
+fn assert_ended_by_first_call(endpoint: &Peer, class: &str) {
+    let (discovery, mut node) = start_with_one_endpoint(endpoint);
     assert_eq!(node.hand_in(class, "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
-    settle(&node, endpoint);
+    wait_until_settled(&node, endpoint);
     node.kill();
     node.restart();
     assert_eq!(node.hand_in("alert", "last", 7, 16_000, b"x"), 202);
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn takes_on_and_delivers_unchanged_over_one_kept_connection() {
+fn delivers_unchanged_over_one_kept_connection() {
     let endpoint = Peer::new(|_| ok());
-    let (discovery, node) = one_endpoint(&endpoint);
+    let (discovery, node) = start_with_one_endpoint(&endpoint);
     let body: Vec<u8> = (0..=255).collect();
     for id in ["a", "b", "c"] {
         assert_eq!(node.hand_in("alert", id, 7, 9_000, &body), 202);
         let call = endpoint.wait_for(id, 1).remove(0);
-        assert_eq!(call.first, "POST /v1/messages HTTP/1.1");
+        assert_eq!(call.start_line, "POST /v1/messages HTTP/1.1");
         assert_eq!(call.headers["idempotency-key"], format!("key-{id}"));
         assert_eq!(call.body, body);
         let wait: u64 = call.headers["x-expires-in-ms"].parse().unwrap();
@@ -49,10 +49,10 @@
 }
 
 #[test]
-fn names_beyond_ascii_are_names_as_any_other() {
+fn accepts_names_beyond_ascii() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([instance("e-é", endpoint.address, 7, "Fähre", "Ready")]));
-    let node = Node::with(&discovery, json!([]), |c| {
+    let node = Node::start_with(&discovery, json!([]), |c| {
         c["settings"]["Services"][0]["Name"] = json!("Änderung-席");
         c["settings"]["Realms"][0]["Name"] = json!("Hütte");
         c["settings"]["Kinds"][0] = json!("Fähre");
@@ -63,42 +63,42 @@
     };
     let encoded = plain("encoded").replacen("/Änderung-席 ", "/%C3%84nderung-%E5%B8%AD ", 1);
     for (id, request) in [("plain-ø", plain("plain-ø")), ("encoded", encoded)] {
-        let answer = node.ask(request.as_bytes()).expect("an answer");
-        assert!(answer.first.contains(" 202 "), "{id}: {}", answer.first);
+        let answer = node.send_request(request.as_bytes()).expect("an answer");
+        assert!(answer.start_line.contains(" 202 "), "{id}: {}", answer.start_line);
         let call = endpoint.wait_for(id, 1).remove(0);
         assert_eq!(call.headers["idempotency-key"], format!("key-{id}"));
     }
     let other = plain("other").replacen("X-Qos: Änderung-席", "X-Qos: Anderung-席", 1);
-    assert!(node.ask(other.as_bytes()).expect("an answer").first.contains(" 400 "));
+    assert!(node.send_request(other.as_bytes()).expect("an answer").start_line.contains(" 400 "));
 }
 
 #[test]
-fn a_connection_stands_idle_no_longer_than_its_endpoint_was_seen_to_keep_it() {
-    // It forgets a connection that has stood longer, and resets what then comes on it.
+fn keeps_idle_connection_no_longer_than_endpoint_does() {
+    // The endpoint resets a request on a connection that has been idle for longer than this.
     const KEPT: Duration = Duration::from_millis(150);
     let used = Mutex::new(HashMap::new());
     let endpoint = Peer::new(move |r| match used.lock().unwrap().insert(r.connection, r.at) {
         Some(before) if r.at - before > KEPT => Reply::Close,
         _ => ok(),
     });
-    let (discovery, node) = one_endpoint(&endpoint);
+    let (discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("alert", "first", 7, 16_000, b"x"), 202);
     let first = endpoint.wait_for("first", 1).remove(0);
     std::thread::sleep(2 * KEPT);
     assert_eq!(node.hand_in("alert", "lost", 7, 16_000, b"x"), 202);
     let lost = endpoint.wait_for("lost", 2);
     assert_eq!(lost[0].connection, first.connection);
-    // As long once more: an unsafe message must not meet the same end.
+    // After the same idle time again: an unsafe message must not be lost in the same way.
     std::thread::sleep(lost[0].at - first.at);
     assert_eq!(node.hand_in("order", "unsafe", 7, 16_000, b"x"), 202);
     assert_ne!(endpoint.wait_for("unsafe", 1)[0].connection, lost[1].connection);
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
     assert!(discovery.notices().is_empty());
 }
 
 #[test]
-fn what_never_ran_goes_again_even_if_unsafe() {
-    let rows: [Row; 4] = [
+fn retries_unsafe_message_that_never_ran() {
+    let rows: [ReplyCase; 4] = [
         ("503", || answer("503 Full", "", "")),
         ("line busy", || answer("503 Busy", "X-Line-Busy: 1\r\n", "")),
         ("504", || answer("504 Used up", "", "")),
@@ -106,7 +106,7 @@
     ];
     for (row, reply) in rows {
         let endpoint = first_then_ok(reply);
-        let (discovery, node) = one_endpoint(&endpoint);
+        let (discovery, node) = start_with_one_endpoint(&endpoint);
         assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
         endpoint.wait_for("m", 2);
         assert!(discovery.notices().is_empty(), "{row}");
@@ -114,22 +114,22 @@
 }
 
 #[test]
-fn what_may_have_run_goes_again_only_if_keyed() {
-    let rows: [Row; 3] = [
+fn retries_only_keyed_message_that_may_have_run() {
+    let rows: [ReplyCase; 3] = [
         ("500", || answer("500 Error", "", "")),
         ("unknown", || answer("418 Teapot", "", "")),
         ("reset", || Reply::Close),
     ];
     for (row, reply) in rows {
         let endpoint = first_then_ok(reply);
-        let (discovery, node) = one_endpoint(&endpoint);
+        let (discovery, node) = start_with_one_endpoint(&endpoint);
         assert_eq!(node.hand_in("order", "unsafe", 7, 16_000, b"x"), 202);
-        assert_eq!(discovery.wait_notice("unsafe")["outcome"], "given_up", "{row}");
-        settle(&node, &endpoint);
+        assert_eq!(discovery.wait_for_notice("unsafe")["outcome"], "given_up", "{row}");
+        wait_until_settled(&node, &endpoint);
         assert_eq!(endpoint.wait_for("unsafe", 1).len(), 1, "{row}");
 
         let endpoint = first_then_ok(reply);
-        let (discovery, node) = one_endpoint(&endpoint);
+        let (discovery, node) = start_with_one_endpoint(&endpoint);
         assert_eq!(node.hand_in("alert", "keyed", 7, 16_000, b"x"), 202);
         let calls = endpoint.wait_for("keyed", 2);
         assert_eq!(calls[0].headers["idempotency-key"], calls[1].headers["idempotency-key"]);
@@ -138,78 +138,81 @@
 }
 
 #[test]
-fn an_answer_that_cannot_be_read_delivers_its_one_message_if_its_first_line_says_200() {
-    let broken: [Row; 3] = [
+fn unreadable_answer_delivers_one_message_if_status_line_says_200() {
+    let broken: [ReplyCase; 3] = [
         ("length", || Reply::Bytes("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n".into())),
         ("header", || Reply::Bytes("HTTP/1.1 200 OK\r\nno header at all\r\n\r\n".into())),
-        ("cut off", || Reply::Last("HTTP/1.1 200 OK\r\nContent-Le".into())),
+        ("cut off", || Reply::BytesThenClose("HTTP/1.1 200 OK\r\nContent-Le".into())),
     ];
     for (row, reply) in broken {
         let endpoint = first_then_ok(reply);
-        let (discovery, node) = one_endpoint(&endpoint);
+        let (discovery, node) = start_with_one_endpoint(&endpoint);
         assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
         endpoint.wait_for("m", 1);
-        settle(&node, &endpoint);
-        assert_eq!(endpoint.wait_for("m", 1).len(), 1, "{row}: delivered, so not sent again");
+        wait_until_settled(&node, &endpoint);
+        assert_eq!(
+            endpoint.wait_for("m", 1).len(),
+            1,
+            "{row}: the message was delivered and must not be sent again"
+        );
         assert!(discovery.notices().is_empty(), "{row}");
     }
-    let unreadable: [Row; 3] = [
-        ("half a line", || Reply::Last("HTTP/1.1 200 O".into())),
+    let unreadable: [ReplyCase; 3] = [
+        ("half a line", || Reply::BytesThenClose("HTTP/1.1 200 O".into())),
         ("status", || Reply::Bytes("HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n".into())),
         ("version", || Reply::Bytes("ICY 200 OK\r\nContent-Length: 0\r\n\r\n".into())),
     ];
     for (row, reply) in unreadable {
         let endpoint = first_then_ok(reply);
-        let (discovery, node) = one_endpoint(&endpoint);
+        let (discovery, node) = start_with_one_endpoint(&endpoint);
         assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
-        assert_eq!(discovery.wait_notice("m")["outcome"], "given_up", "{row}");
+        assert_eq!(discovery.wait_for_notice("m")["outcome"], "given_up", "{row}");
     }
 }
 
 #[test]
-fn a_message_that_its_endpoint_cannot_read_is_given_up_after_one_call() {
+fn gives_up_malformed_message_after_one_call() {
     let endpoint = Peer::new(|r| if r.id() == "m" { answer("400 Bad", "", "") } else { ok() });
-    let (discovery, node) = one_endpoint(&endpoint);
+    let (discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
-    assert_eq!(discovery.wait_notice("m")["outcome"], "given_up");
-    settle(&node, &endpoint);
+    assert_eq!(discovery.wait_for_notice("m")["outcome"], "given_up");
+    wait_until_settled(&node, &endpoint);
     assert_eq!(endpoint.wait_for("m", 1).len(), 1);
 }
 
 #[test]
-fn a_withdrawn_message_is_over_without_a_notice() {
-    one_call_ends_it_for_good(&first_then_ok(|| answer("410 Gone", "", "")), "alert");
+fn withdrawn_message_ends_without_notice() {
+    assert_ended_by_first_call(&first_then_ok(|| answer("410 Gone", "", "")), "alert");
 }
 
 #[test]
-fn silence_ends_an_unsafe_message_at_its_time_and_closes_the_connection_of_a_keyed_one_before_it_goes_again()
-{
+fn unanswered_call_ends_unsafe_message_at_deadline_and_is_closed_before_keyed_retry() {
     let endpoint = first_then_ok(|| Reply::Hang);
-    let (discovery, node) = one_endpoint(&endpoint);
+    let (discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "unsafe", 7, 600, b"x"), 202);
-    assert_eq!(discovery.wait_notice("unsafe")["outcome"], "given_up");
+    assert_eq!(discovery.wait_for_notice("unsafe")["outcome"], "given_up");
 
     let endpoint = first_then_ok(|| Reply::Hang);
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("alert", "keyed", 7, 16_000, b"x"), 202);
     let calls = endpoint.wait_for("keyed", 2);
     assert_ne!(calls[0].connection, calls[1].connection);
-    node.until("the first connection is closed", || endpoint.has_ended(calls[0].connection));
+    node.wait_until("the first connection is closed", || endpoint.is_closed(calls[0].connection));
 }
 
 #[test]
-fn a_refused_connection_never_ran_so_the_message_is_handed_back() {
+fn hands_back_message_after_refused_connections() {
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let discovery = Discovery::new(json!([ready("e-1", closed, 7)]));
     let node = Node::start(&discovery);
     assert_eq!(node.hand_in("order", "m", 7, 1_000, b"x"), 202);
-    assert_eq!(discovery.wait_notice("m")["outcome"], "handed_back");
+    assert_eq!(discovery.wait_for_notice("m")["outcome"], "handed_back");
 }
 
 #[test]
-fn a_told_wait_binds_every_message_of_the_destination() {
+fn retry_after_binds_every_message_of_destination() {
     let endpoint = first_then_ok(|| answer("429 Wait", "Retry-After: 1.2\r\n", ""));
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("alert", "told", 7, 16_000, b"x"), 202);
     let told = endpoint.wait_for("told", 1).remove(0).at;
     assert_eq!(node.hand_in("alert", "other", 7, 16_000, b"x"), 202);
@@ -218,15 +221,15 @@
     assert!(again.min(other) - told >= Duration::from_millis(1_200));
 }
 
-/// Messages held during a wait leave in one call; each of them ends as the answer says.
+/// Messages held during a Retry-After are sent in one call, and each ends as the answer says for it.
 #[test]
-fn a_batch_ends_each_message_by_its_own_state() {
+fn batch_ends_each_message_by_its_own_state() {
     let calls = Arc::new(AtomicUsize::new(0));
     let endpoint = Peer::new(move |request| {
         if calls.fetch_add(1, Ordering::SeqCst) == 0 {
             return answer("429 Wait", "Retry-After: 1.5\r\n", "");
         }
-        if !request.first.contains(":batch") {
+        if !request.start_line.contains(":batch") {
             return ok();
         }
         let ends: Vec<Value> = serde_json::from_slice::<Vec<Value>>(&request.body)
@@ -250,21 +253,21 @@
         assert_eq!(node.hand_in("order", id, 7, 6_000, id.as_bytes()), 202);
     }
     let batches = |seen: &[Request]| -> Vec<Vec<Value>> {
-        let batch = seen.iter().filter(|r| r.first.contains(":batch"));
+        let batch = seen.iter().filter(|r| r.start_line.contains(":batch"));
         batch.map(|r| serde_json::from_slice(&r.body).unwrap()).collect()
     };
     let seen = endpoint.wait("a batch", |s| !batches(s).is_empty());
     let batch = batches(&seen).remove(0);
-    let failed = batch.iter().find(|m| m["id"] == "failed.2").expect("all that were held are in one call");
+    let failed = batch.iter().find(|m| m["id"] == "failed.2").expect("all held messages are in one call");
     let body = base64::engine::general_purpose::STANDARD.encode("failed.2");
     assert_eq!((&failed["body"], &failed["key"]), (&json!(body), &json!("key-failed.2")));
-    assert_eq!(discovery.wait_notice("failed.2")["outcome"], "given_up");
+    assert_eq!(discovery.wait_for_notice("failed.2")["outcome"], "given_up");
     let count = |seen: &[Request], id: &str| {
         let inside = batches(seen).iter().flatten().filter(|m| m["id"] == id).count();
         inside + seen.iter().filter(|r| r.id() == id).count()
     };
-    let seen =
-        endpoint.wait("the two that never ran", |s| count(s, "busy.4") > 1 && count(s, "used_up.5") > 1);
+    let seen = endpoint
+        .wait("a repeat of the two that never ran", |s| count(s, "busy.4") > 1 && count(s, "used_up.5") > 1);
     for id in ["done.1", "failed.2", "void.3"] {
         assert_eq!(count(&seen, id), 1, "{id}");
     }
@@ -272,10 +275,10 @@
 }
 
 #[test]
-fn what_is_too_much_for_one_body_goes_in_parts() {
+fn splits_batch_that_exceeds_one_body() {
     let endpoint = first_then_ok(|| answer("429 Wait", "Retry-After: 1.5\r\n", ""));
-    endpoint.also(|request| {
-        let many = request.first.contains(":batch");
+    endpoint.add_script(|request| {
+        let many = request.start_line.contains(":batch");
         let list: Vec<Value> = if many { serde_json::from_slice(&request.body).unwrap() } else { Vec::new() };
         let ends: Vec<Value> = list.iter().map(|m| json!({"id": m["id"], "state": "done"})).collect();
         many.then(|| answer("200 OK", "", &json!(ends).to_string()))
@@ -289,7 +292,7 @@
     }
     let delivered = |seen: &[Request], id: &str| {
         let named = format!("\"id\":\"{id}\"");
-        let batches = seen.iter().filter(|r| r.first.contains(":batch"));
+        let batches = seen.iter().filter(|r| r.start_line.contains(":batch"));
         let inside = batches.filter(|r| String::from_utf8_lossy(&r.body).contains(&named)).count();
         inside + seen.iter().filter(|r| r.id() == id).count()
     };
@@ -300,7 +303,7 @@
 }
 
 #[test]
-fn the_same_message_handed_in_again_while_it_is_held_is_taken_on_once() {
+fn accepts_held_message_once_when_handed_in_again() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([]));
     let node = Node::start(&discovery);
@@ -309,15 +312,15 @@
     }
     discovery.set(json!([ready("e-1", endpoint.address, 7)]));
     endpoint.wait_for("m", 1);
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
     assert_eq!(endpoint.wait_for("m", 1).len(), 1);
 }
 
 #[test]
-fn past_the_bound_what_waited_is_handed_back_with_a_time_and_the_door_refuses() {
+fn hands_back_and_refuses_with_retry_time_over_bound() {
     let endpoint = Peer::new(|_| Reply::Hang);
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let node = Node::with(&discovery, json!([]), |c| {
+    let node = Node::start_with(&discovery, json!([]), |c| {
         c["settings"]["Limits"]["MaxOpen"] = json!(30);
         c["settings"]["FamilyInfo"]["CallsOut"] = json!(4);
     });
@@ -330,10 +333,10 @@
         }
         assert_eq!(status, 202);
     }
-    let after: f64 = refused.expect("a bound on what is held")["retry-after"].parse().unwrap();
+    let after: f64 = refused.expect("the number of held messages is bounded")["retry-after"].parse().unwrap();
     assert!(after > 0.0);
     let seen =
-        discovery.peer.wait("a message handed back", |s| s.iter().any(|r| r.first.contains("/reports")));
+        discovery.peer.wait("a message handed back", |s| s.iter().any(|r| r.start_line.contains("/reports")));
     assert!(!seen.is_empty());
     let notices = discovery.notices();
     assert!(notices.iter().all(|n| n["outcome"] == "handed_back"), "{notices:?}");
@@ -341,7 +344,7 @@
 }
 
 #[test]
-fn a_kill_before_any_attempt_leaves_the_message_to_the_next_process() {
+fn next_process_sends_message_killed_before_any_attempt() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([]));
     let mut node = Node::start(&discovery);
@@ -355,19 +358,19 @@
 }
 
 #[test]
-fn a_kill_during_an_attempt_ends_an_unsafe_message_and_repeats_a_keyed_one_under_its_key() {
+fn kill_during_attempt_ends_unsafe_and_repeats_keyed_message() {
     let endpoint = first_then_ok(|| Reply::Hang);
-    let (discovery, mut node) = one_endpoint(&endpoint);
+    let (discovery, mut node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "unsafe", 7, 16_000, b"x"), 202);
     endpoint.wait_for("unsafe", 1);
     node.kill();
     node.restart();
-    assert_eq!(discovery.wait_notice("unsafe")["outcome"], "given_up");
-    settle(&node, &endpoint);
+    assert_eq!(discovery.wait_for_notice("unsafe")["outcome"], "given_up");
+    wait_until_settled(&node, &endpoint);
     assert_eq!(endpoint.wait_for("unsafe", 1).len(), 1);
 
     let endpoint = first_then_ok(|| Reply::Hang);
-    let (discovery, mut node) = one_endpoint(&endpoint);
+    let (discovery, mut node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("alert", "keyed", 7, 16_000, b"x"), 202);
     endpoint.wait_for("keyed", 1);
     node.kill();
@@ -378,10 +381,10 @@
 }
 
 #[test]
-fn the_window_of_a_key_counts_from_the_first_attempt_over_a_restart() {
+fn dedup_window_counts_from_first_attempt_over_restart() {
     let endpoint = first_then_ok(|| Reply::Hang);
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let mut node = Node::with(&discovery, json!([]), |c| {
+    let mut node = Node::start_with(&discovery, json!([]), |c| {
         c["settings"]["Services"][0]["WindowNs"] = json!(300_000_000);
     });
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
@@ -389,50 +392,51 @@
     node.kill();
     std::thread::sleep(Duration::from_millis(400));
     node.restart();
-    discovery.wait_notice("m");
-    settle(&node, &endpoint);
+    discovery.wait_for_notice("m");
+    wait_until_settled(&node, &endpoint);
     assert_eq!(endpoint.wait_for("m", 1).len(), 1);
 }
 
 #[test]
-fn a_kill_after_the_delivery_does_not_repeat_it() {
-    one_call_ends_it_for_good(&Peer::new(|_| ok()), "order");
+fn kill_after_delivery_does_not_repeat_it() {
+    assert_ended_by_first_call(&Peer::new(|_| ok()), "order");
 }
 
 #[test]
-fn what_ran_out_of_time_while_the_sender_was_down_ends_at_once_and_a_notice_is_repeated_until_it_is_answered()
-{
+fn expired_message_ends_at_restart_and_notice_is_repeated_until_acknowledged() {
     let discovery = Discovery::new(json!([]));
     let mut node = Node::start(&discovery);
     assert_eq!(node.hand_in("order", "m", 7, 300, b"x"), 202);
     node.kill();
     std::thread::sleep(Duration::from_millis(400));
     node.restart();
-    assert_eq!(discovery.wait_notice("m")["outcome"], "handed_back");
+    assert_eq!(discovery.wait_for_notice("m")["outcome"], "handed_back");
 
-    // This platform takes notices badly: closed once, then an error, then as it should be.
+    // This platform closes the first post of a notice, answers the second with an error, and acknowledges the
+    // third.
     let calls = AtomicUsize::new(0);
-    let platform = Peer::new(move |r| match (r.first.starts_with("POST"), calls.load(Ordering::SeqCst)) {
-        (false, _) => answer("200 OK", "", r#"{"generation":1,"reset":true,"instances":[]}"#),
-        (true, tries) => {
-            calls.fetch_add(1, Ordering::SeqCst);
-            match tries {
-                0 => Reply::Close,
-                1 => answer("500 Error", "", ""),
-                _ => answer("204 No Content", "", ""),
+    let platform =
+        Peer::new(move |r| match (r.start_line.starts_with("POST"), calls.load(Ordering::SeqCst)) {
+            (false, _) => answer("200 OK", "", r#"{"generation":1,"reset":true,"instances":[]}"#),
+            (true, tries) => {
+                calls.fetch_add(1, Ordering::SeqCst);
+                match tries {
+                    0 => Reply::Close,
+                    1 => answer("500 Error", "", ""),
+                    _ => answer("204 No Content", "", ""),
+                }
             }
-        }
-    });
+        });
     let discovery = Discovery { peer: platform, ..discovery };
     let node = Node::start(&discovery);
     assert_eq!(node.hand_in("order", "n", 7, 300, b"x"), 202);
-    let posts = |s: &[Request]| s.iter().filter(|r| r.first.starts_with("POST")).count();
-    discovery.peer.wait("the notice three times", |s| posts(s) == 3);
+    let posts = |s: &[Request]| s.iter().filter(|r| r.start_line.starts_with("POST")).count();
+    discovery.peer.wait("three posts of the notice", |s| posts(s) == 3);
     assert!(discovery.notices().iter().all(|n| n["message"] == "n"));
 }
 
 #[test]
-fn a_torn_tail_is_cut_and_what_is_before_it_lives() {
+fn cuts_torn_tail_and_keeps_records_before_it() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([]));
     let mut node = Node::start(&discovery);
@@ -447,12 +451,12 @@
     discovery.set(json!([ready("e-1", endpoint.address, 7)]));
     node.restart();
     endpoint.wait_for("whole", 1);
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
     assert!(!endpoint.seen().iter().any(|r| r.id() == "torn"));
-    // What is written after the cut can be read again.
+    // Records written after the cut are readable.
     discovery.set(json!([]));
     let seen = discovery.peer.seen().len();
-    discovery.peer.wait("the change to be told", |s| s.len() >= seen + 3);
+    discovery.peer.wait("discovery to have answered with the change", |s| s.len() >= seen + 3);
     assert_eq!(node.hand_in("order", "later", 7, 16_000, b"x"), 202);
     node.kill();
     discovery.set(json!([ready("e-1", endpoint.address, 7)]));
@@ -462,19 +466,19 @@
 }
 
 #[test]
-fn the_journal_is_rewritten_within_its_limit_and_refuses_what_does_not_fit() {
+fn journal_stays_within_limit_and_refuses_what_does_not_fit() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
     let limit = 400_000;
-    let mut node = Node::with(&discovery, json!([]), |c| c["limits"]["disk_mb"] = json!(0.4));
-    // Far more than fits, were nothing dropped.
+    let mut node = Node::start_with(&discovery, json!([]), |c| c["limits"]["disk_mb"] = json!(0.4));
+    // Far more than fits, unless the records of delivered messages are dropped.
     for i in 0..60 {
         let id = format!("m{i}");
         assert_eq!(node.hand_in("alert", &id, 7, 16_000, &[1; 20_000]), 202);
         endpoint.wait_for(&id, 1);
-        assert!(node.on_disk() <= limit, "{}", node.on_disk());
+        assert!(node.disk_usage() <= limit, "{}", node.disk_usage());
     }
-    // And nothing that lives is dropped: these wait for a list that names their destination.
+    // No record of a pending message is dropped: these wait for a list that names their destination.
     let mut held = Vec::new();
     loop {
         let id = format!("held{}", held.len());
@@ -482,7 +486,7 @@
             202 => held.push(id),
             status => break assert_eq!(status, 503),
         }
-        assert!(node.on_disk() <= limit && held.len() < 50, "{}", node.on_disk());
+        assert!(node.disk_usage() <= limit && held.len() < 50, "{}", node.disk_usage());
     }
     assert!(held.len() >= 3, "{}", held.len());
     node.kill();
@@ -493,26 +497,26 @@
         assert_eq!(endpoint.wait_for(id, 1)[0].body, [2; 20_000]);
     }
     assert_eq!(node.hand_in("order", "room again", 7, 16_000, b"x"), 202);
-    assert!(node.on_disk() <= limit);
+    assert!(node.disk_usage() <= limit);
 }
 
 #[test]
-fn sigterm_finishes_calls_answers_clients_and_leaves_the_rest_to_the_next_process() {
+fn sigterm_finishes_calls_and_leaves_held_messages_to_next_process() {
     let (release, gate) = std::sync::mpsc::channel::<()>();
     let gate = std::sync::Mutex::new(gate);
     let arrived = Arc::new(AtomicUsize::new(0));
     let count = arrived.clone();
     let endpoint = Peer::new(move |_| {
         count.fetch_add(1, Ordering::SeqCst);
-        let _ = gate.lock().unwrap().recv_timeout(BOUND);
+        let _ = gate.lock().unwrap().recv_timeout(TIMEOUT);
         ok()
     });
-    let (discovery, mut node) = one_endpoint(&endpoint);
+    let (discovery, mut node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "out", 7, 16_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "held", 9, 16_000, b"x"), 202);
-    node.until("the call is out", || arrived.load(Ordering::SeqCst) == 1);
+    node.wait_until("the call is in flight", || arrived.load(Ordering::SeqCst) == 1);
     node.terminate();
-    // New connections go on coming for a while and are served.
+    // New connections are still accepted and served for a while.
     assert_eq!(node.hand_in("order", "late", 9, 16_000, b"x"), 202);
     release.send(()).unwrap();
     endpoint.wait_for("out", 1);
@@ -522,43 +526,44 @@
     node.restart();
     endpoint.wait_for("held", 1);
     endpoint.wait_for("late", 1);
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
     assert_eq!(endpoint.wait_for("out", 1).len(), 1);
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
 }
 
 #[test]
-fn sigterm_does_not_wait_for_a_call_that_hangs_and_the_next_process_goes_on() {
+fn sigterm_does_not_wait_for_hanging_call() {
     let endpoint = first_then_ok(|| Reply::Hang);
-    let (discovery, mut node) = one_endpoint(&endpoint);
+    let (discovery, mut node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "hangs", 7, 16_000, b"x"), 202);
     endpoint.wait_for("hangs", 1);
     node.terminate();
     assert!(node.wait_exit().success());
     node.restart();
-    assert_eq!(discovery.wait_notice("hangs")["outcome"], "given_up");
+    assert_eq!(discovery.wait_for_notice("hangs")["outcome"], "given_up");
 }
 
 #[test]
-fn clients_that_stand_idle_make_place_for_others() {
+fn idle_client_connections_make_room_for_others() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
-    let node = Node::with(&discovery, json!([]), |c| c["limits"]["sockets"] = json!(64));
-    // 40 are left to share: 20 for clients, of which the last ones come back with their answer.
+    let node = Node::start_with(&discovery, json!([]), |c| c["limits"]["sockets"] = json!(64));
+    // 40 descriptors are left to share, of which 20 are for clients. When few of those are free, connections
+    // are closed with their answer.
     let kept: Vec<TcpStream> = (0..17)
         .map(|_| {
             let mut client = TcpStream::connect(node.address).unwrap();
             client.write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
             let answer = read_message(&mut BufReader::new(client.try_clone().unwrap()), 0).unwrap();
-            assert!(answer.first.contains(" 200") && !answer.headers.contains_key("connection"));
+            assert!(answer.start_line.contains(" 200") && !answer.headers.contains_key("connection"));
             client
         })
         .collect();
-    // The others are taken by what sends nothing. Those that stand idle stay open far longer than this waits
-    // unless they are needed.
+    // Connections that send nothing take the other places. Unless their place is needed, idle connections
+    // stay open far longer than this test waits.
     let silent = std::cell::RefCell::new(Vec::new());
     kept[0].set_read_timeout(Some(Duration::from_millis(1))).unwrap();
-    node.until("the one that stood longest makes place", || {
+    node.wait_until("the connection that was idle longest is closed", || {
         silent.borrow_mut().push(TcpStream::connect(node.address).unwrap());
         (&kept[0]).read(&mut [0]).is_ok_and(|n| n == 0)
     });
@@ -567,16 +572,16 @@
 }
 
 #[test]
-fn a_crowd_that_finishes_nothing_leaves_room_for_messages_slow_ones_included() {
+fn unfinished_requests_leave_room_for_messages_even_slow_ones() {
     let endpoint = Peer::new(|_| ok());
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let mut slow = TcpStream::connect(node.address).unwrap();
-    slow.set_read_timeout(Some(BOUND)).unwrap();
+    slow.set_read_timeout(Some(TIMEOUT)).unwrap();
     let slowly = message("order", "slow", 7, 16_000, b"x");
     let mut pieces = slowly.chunks(slowly.len().div_ceil(15));
     let mut crowd = Vec::new();
-    // Three times as many as there are places, and between them messages on connections of their own: each
-    // answer also tells that what came before it has been seen.
+    // Three times as many connections as there are places, with messages on connections of their own in
+    // between. Each reply also shows that the connections before it have been accepted.
     for round in 0..15 {
         for i in 0..24 {
             let mut stream = TcpStream::connect(node.address).unwrap();
@@ -589,50 +594,50 @@
         pieces.next().into_iter().for_each(|piece| slow.write_all(piece).unwrap());
         let (status, headers) = node.hand_in_full("alert", &format!("b{round}"), 7, 16_000, b"x");
         assert_eq!(status, 202);
-        // 116 places: once they are scarce this one comes back with its answer.
+        // There are 116 places: once they are scarce, this connection is closed with its answer.
         let closes = headers.get("connection").is_some_and(|c| c == "close");
         assert!(if closes { round >= 3 } else { round <= 5 }, "round {round}");
     }
     let answer = read_message(&mut BufReader::new(slow), 0).expect("an answer");
-    assert!(answer.first.contains(" 202 "), "{}", answer.first);
+    assert!(answer.start_line.contains(" 202 "), "{}", answer.start_line);
     endpoint.wait_for("slow", 1);
 }
 
 #[test]
-fn a_client_that_leaves_in_the_middle_harms_nothing() {
+fn client_that_disconnects_mid_request_does_no_harm() {
     let endpoint = Peer::new(|_| ok());
-    let (discovery, node) = one_endpoint(&endpoint);
+    let (discovery, node) = start_with_one_endpoint(&endpoint);
     for part in
         ["PO", "POST /alert HTTP/1.1\r\nHost: x\r\n", "POST /alert HTTP/1.1\r\nContent-Length: 9\r\n\r\nx"]
     {
         let mut client = TcpStream::connect(node.address).unwrap();
         client.write_all(part.as_bytes()).unwrap();
     }
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
     assert_eq!(endpoint.seen().len(), 1);
     assert!(discovery.notices().is_empty());
 }
 
 #[test]
-fn an_idle_sender_ends_after_sigterm() {
+fn idle_sender_exits_after_sigterm() {
     let discovery = Discovery::new(json!([]));
     let mut node = Node::start(&discovery);
-    // A client's idle connection must not hold it up.
+    // A client's idle connection must not delay the exit.
     let _idle = TcpStream::connect(node.address).unwrap();
     node.terminate();
     assert!(node.wait_exit().success());
 }
 
-/// An address where connections hang: its backlog is full until `open` takes what waits.
-struct Slow {
+/// A listener to which connecting hangs: its backlog is full until `open` accepts the waiting connections.
+struct FullListener {
     runtime: tokio::runtime::Runtime,
     listener: tokio::net::TcpListener,
     address: SocketAddr,
     fill: Vec<TcpStream>,
 }
 
-impl Slow {
-    fn new() -> Slow {
+impl FullListener {
+    fn new() -> FullListener {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let listener = runtime.block_on(async {
             let socket = tokio::net::TcpSocket::new_v4().unwrap();
@@ -643,14 +648,14 @@
         let mut fill = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
             fill.push(stream);
-            assert!(fill.len() < 20, "the backlog does not fill");
+            assert!(fill.len() < 20, "the backlog does not fill up");
         }
-        Slow { runtime, listener, address, fill }
+        FullListener { runtime, listener, address, fill }
     }
 
-    /// Serves from now on, and remembers what is written.
+    /// Accepts the waiting connections, and serves as a peer from now on.
     fn open(self) -> Peer {
-        let Slow { runtime, listener, fill, .. } = self;
+        let FullListener { runtime, listener, fill, .. } = self;
         for _ in &fill {
             runtime.block_on(listener.accept()).unwrap();
         }
@@ -658,144 +663,151 @@
         let _inside = runtime.enter();
         let listener = listener.into_std().unwrap();
         listener.set_nonblocking(false).unwrap();
-        Peer::on(listener, |_| ok())
+        Peer::with_listener(listener, |_| ok())
     }
 }
 
 #[test]
-fn a_drain_met_while_connecting_stops_the_call() {
-    let (slow, other) = (Slow::new(), Peer::new(|_| ok()));
+fn drain_while_connecting_stops_call() {
+    let (slow, other) = (FullListener::new(), Peer::new(|_| ok()));
     let discovery = Discovery::new(json!([ready("e-1", slow.address, 7)]));
     let patient = |c: &mut Value| c["settings"]["Limits"]["DialTimeoutNs"] = json!(20_000_000_000u64);
-    let node = Node::with(&discovery, json!([]), patient);
+    let node = Node::start_with(&discovery, json!([]), patient);
     let address = slow.address;
     assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
     discovery
         .set(json!([instance("e-1", address, 7, "plain", "Terminating"), ready("e-2", other.address, 7)]));
-    // The change has been told once the sender watches on from it; this message can only go to the new one.
-    discovery.peer.wait("the watch to go on", |s| s.iter().any(|r| r.first.contains("index=2")));
+    // The sender has the change once its watch asks for the next one. From then on the message can only go to
+    // e-2.
+    discovery.peer.wait("the watch to continue", |s| s.iter().any(|r| r.start_line.contains("index=2")));
     let slow = slow.open();
-    node.until("the connection comes up", || slow.connections() > 0);
+    node.wait_until("the connection is made", || slow.connections() > 0);
     other.wait_for("m", 1);
     assert!(slow.seen().is_empty(), "{:?}", slow.seen());
 }
 
 #[test]
-fn a_wait_met_while_connecting_holds_the_call() {
-    let (slow, other) = (Slow::new(), first_then_ok(|| answer("429 Wait", "Retry-After: 3\r\n", "")));
+fn retry_after_while_connecting_delays_call() {
+    let (slow, other) = (FullListener::new(), first_then_ok(|| answer("429 Wait", "Retry-After: 3\r\n", "")));
     let discovery = Discovery::new(json!([ready("e-1", slow.address, 7)]));
     let patient = |c: &mut Value| c["settings"]["Limits"]["DialTimeoutNs"] = json!(20_000_000_000u64);
-    let node = Node::with(&discovery, json!([]), patient);
+    let node = Node::start_with(&discovery, json!([]), patient);
     assert_eq!(node.hand_in("order", "connecting", 7, 16_000, b"x"), 202);
-    // Only now, so that the first message can't choose it; the next one finds no call out there.
+    // Listed only now, so that the first message can't go to e-2. The next one does, as no call is in flight
+    // there.
     discovery.set(json!([ready("e-1", slow.address, 7), ready("e-2", other.address, 7)]));
-    discovery.peer.wait("the watch to go on", |s| s.iter().any(|r| r.first.contains("index=2")));
+    discovery.peer.wait("the watch to continue", |s| s.iter().any(|r| r.start_line.contains("index=2")));
     assert_eq!(node.hand_in("order", "told", 7, 16_000, b"x"), 202);
     let told = other.wait_for("told", 1).remove(0).at;
     let slow = slow.open();
-    node.until("the connection comes up", || slow.connections() > 0);
+    node.wait_until("the connection is made", || slow.connections() > 0);
     let calls = |id: &str| {
         let all = slow.seen().into_iter().chain(other.seen());
         all.filter(|r| r.id() == id).map(|r| r.at).collect::<Vec<_>>()
     };
-    node.until("both are delivered", || calls("connecting").len() == 1 && calls("told").len() == 2);
+    node.wait_until("both are delivered", || calls("connecting").len() == 1 && calls("told").len() == 2);
     assert!(calls("connecting")[0] - told >= Duration::from_secs(3));
 }
 
 #[test]
-fn a_silent_discovery_leaves_the_old_list_in_force() {
+fn silent_discovery_leaves_old_list_in_force() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([]));
     discovery.silence();
     let known = json!([ready("e-1", endpoint.address, 7), {"instanceId": "unreadable"}]);
-    let mut node = Node::with(&discovery, known, |_| {});
+    let mut node = Node::start_with(&discovery, known, |_| {});
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
-    // Another destination's endpoint is none of this one's, however few there are.
+    // A message is not sent to another destination's endpoint, even if there is no other endpoint.
     assert_eq!(node.hand_in("alert", "elsewhere", 8, 500, b"x"), 202);
-    assert_eq!(discovery.wait_notice("elsewhere")["outcome"], "handed_back");
+    assert_eq!(discovery.wait_for_notice("elsewhere")["outcome"], "handed_back");
     assert_eq!(endpoint.seen().len(), 1);
     assert!(node.is_running());
 }
 
 #[test]
-fn sighup_moves_the_list_and_the_notices_to_the_address_in_the_file() {
+fn sighup_moves_watch_and_notices_to_address_in_file() {
     let endpoint = Peer::new(|_| ok());
     let (old, new) = (Discovery::new(json!([])), Discovery::new(json!([ready("e-1", endpoint.address, 7)])));
     let mut node = Node::start(&old);
-    // A file that can't be read changes nothing.
+    // A file that can't be parsed changes nothing.
     std::fs::write(node.folder.join("config.json"), "{").unwrap();
-    node.hang_up();
-    node.until("the reload has failed", || node.log().contains("cannot reload"));
+    node.reload();
+    node.wait_until("the reload has failed", || node.log().contains("cannot reload"));
     assert!(node.is_running());
     node.config["discovery"] = json!(new.peer.address.to_string());
     std::fs::write(node.folder.join("config.json"), node.config.to_string()).unwrap();
-    // A watch at the old address that is never answered must not hold it up.
+    // A watch at the old address that is never answered must not delay the move.
     old.silence();
-    node.hang_up();
+    node.reload();
     assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
     assert_eq!(node.hand_in("order", "nowhere", 8, 300, b"x"), 202);
-    assert_eq!(new.wait_notice("nowhere")["outcome"], "handed_back");
+    assert_eq!(new.wait_for_notice("nowhere")["outcome"], "handed_back");
     assert!(old.notices().is_empty());
     assert!(node.is_running());
 }
 
 #[test]
-fn strangers_that_send_nothing_whole_are_closed_or_told_in_time() {
+fn incomplete_requests_are_closed_or_answered_in_time() {
     let endpoint = Peer::new(|_| ok());
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let head = "POST /alert HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\nX-Qos: alert\r\nX-Customer: acme\r\n\
                 X-Expires-In-Ms: 9000\r\nX-Consignee: dest=7\r\nIdempotency-Key: k\r\n";
     let part_of_a_body = format!("{head}Content-Length: 9\r\n\r\nx");
-    let mut strangers: Vec<TcpStream> = ["", "PO", head, &part_of_a_body]
+    let mut clients: Vec<TcpStream> = ["", "PO", head, &part_of_a_body]
         .iter()
         .map(|part| {
-            let mut stranger = TcpStream::connect(node.address).unwrap();
-            stranger.write_all(part.as_bytes()).unwrap();
-            // Far more than the 3 s that are owed, and far less than an idle client's connection may stand.
-            stranger.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-            stranger
+            let mut client = TcpStream::connect(node.address).unwrap();
+            client.write_all(part.as_bytes()).unwrap();
+            // Far more than the 3 s within which they are closed, and far less than the idle timeout of
+            // clients.
+            client.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+            client
         })
         .collect();
-    for stranger in &mut strangers {
-        let mut told = Vec::new();
-        stranger.read_to_end(&mut told).expect("closed in time");
-        assert!(told.is_empty() || told.starts_with(b"HTTP/1.1 4"), "{}", String::from_utf8_lossy(&told));
+    for client in &mut clients {
+        let mut answer = Vec::new();
+        client.read_to_end(&mut answer).expect("closed in time");
+        assert!(
+            answer.is_empty() || answer.starts_with(b"HTTP/1.1 4"),
+            "{}",
+            String::from_utf8_lossy(&answer)
+        );
     }
-    settle(&node, &endpoint);
-    assert_eq!(endpoint.seen().len(), 1, "nothing of theirs is taken on");
+    wait_until_settled(&node, &endpoint);
+    assert_eq!(endpoint.seen().len(), 1, "none of the incomplete messages is accepted");
 }
 
 #[test]
-fn what_follows_a_request_with_two_lengths_is_not_read_as_another_one() {
+fn request_with_two_lengths_is_not_read_as_two_requests() {
     let endpoint = Peer::new(|_| ok());
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let inner = String::from_utf8(message("alert", "inner", 7, 9_000, b"")).unwrap();
     let outer = String::from_utf8(message("alert", "outer", 7, 9_000, b"")).unwrap();
     let lengths = format!("Content-Length: {}\r\nTransfer-Encoding: chunked\r\n", 5 + inner.len());
     let outer = outer.replace("Content-Length: 0\r\n", &lengths);
     let mut stream = TcpStream::connect(node.address).unwrap();
-    stream.set_read_timeout(Some(peers::BOUND)).unwrap();
+    stream.set_read_timeout(Some(peers::TIMEOUT)).unwrap();
     stream.write_all(format!("{outer}0\r\n\r\n{inner}").as_bytes()).unwrap();
     let mut all = String::new();
     stream.read_to_string(&mut all).unwrap();
     assert!(all.starts_with("HTTP/1.1 400 "), "{all}");
     assert_eq!(all.matches("HTTP/1.1 ").count(), 1, "{all}");
-    // With one of the two it is as good as any.
+    // A chunked body on its own is accepted.
     let chunked = String::from_utf8(message("alert", "chunked", 7, 9_000, b"")).unwrap();
     let chunked =
         chunked.replace("Content-Length: 0\r\n", "Transfer-Encoding: chunked\r\n") + "1\r\nx\r\n0\r\n\r\n";
-    assert!(node.ask(chunked.as_bytes()).expect("an answer").first.contains(" 202 "));
+    assert!(node.send_request(chunked.as_bytes()).expect("an answer").start_line.contains(" 202 "));
     assert_eq!(endpoint.wait_for("chunked", 1)[0].body, b"x");
     assert!(endpoint.seen().iter().all(|r| r.id() != "inner" && r.id() != "outer"));
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
 }
 
 #[test]
-fn malformed_input_is_answered_and_harms_nothing() {
+fn malformed_requests_are_answered_and_do_no_harm() {
     let endpoint = Peer::new(|_| ok());
-    let (_discovery, node) = one_endpoint(&endpoint);
+    let (_discovery, node) = start_with_one_endpoint(&endpoint);
     let full = [
         ("X-Trace-Id", "t"),
         ("X-Qos", "alert"),
@@ -814,8 +826,8 @@
         }
         let mut bytes = (text + "\r\n").into_bytes();
         bytes.resize(bytes.len() + length, b'x');
-        let answer = node.ask(&bytes).unwrap_or_else(|| panic!("no answer to {first} {change:?}"));
-        answer.first.split(' ').nth(1).unwrap().parse::<u16>().unwrap()
+        let answer = node.send_request(&bytes).unwrap_or_else(|| panic!("no answer to {first} {change:?}"));
+        answer.start_line.split(' ').nth(1).unwrap().parse::<u16>().unwrap()
     };
     for (name, value) in [
         ("X-Trace-Id", None),
@@ -846,12 +858,12 @@
         "Host: x\r\nHost: y\r\n",
         "Host: x\r\nTransfer-Encoding: chunked\r\n",
     ] {
-        let answer = node.ask(format!("{message}{more}\r\nx").as_bytes()).expect("an answer");
-        assert!(answer.first.contains(" 400 "), "{more}: {}", answer.first);
+        let answer = node.send_request(format!("{message}{more}\r\nx").as_bytes()).expect("an answer");
+        assert!(answer.start_line.contains(" 400 "), "{more}: {}", answer.start_line);
     }
     let padded = format!("{message}Host: x\r\nX-Pad: {}\r\n\r\nx", "p".repeat(20_000));
-    let answer = node.ask(padded.as_bytes()).expect("an answer");
-    assert!(answer.first.contains(" 431 "), "{}", answer.first);
+    let answer = node.send_request(padded.as_bytes()).expect("an answer");
+    assert!(answer.start_line.contains(" 431 "), "{}", answer.start_line);
     assert_eq!(ask("POST /nosuch", ("", None), 1), 404);
     assert_eq!(ask("POST /", ("", None), 1), 404);
     assert_eq!(ask("GET /alert", ("", None), 0), 405);
@@ -860,56 +872,57 @@
     assert_eq!(ask("POST /alert", ("X-Consignee", Some("dest=18446744073709551615")), 1), 202);
     assert_eq!(ask("POST /alert", ("X-Trace-Id", Some("largest")), 64 << 10), 202);
     assert_eq!(endpoint.wait_for("largest", 1)[0].body.len(), 64 << 10);
-    settle(&node, &endpoint);
+    wait_until_settled(&node, &endpoint);
 }
 
 #[test]
-fn asks_discovery_for_what_changed_since_the_list_it_starts_with_and_goes_on_over_the_same_connection() {
+fn asks_discovery_for_changes_since_known_list_over_one_connection() {
     let endpoint = Peer::new(|_| ok());
     let known = json!([ready("e-1", endpoint.address, 7)]);
     let discovery = Discovery::new(known.clone());
-    let node = Node::with(&discovery, known, |c| c["known"]["generation"] = json!(1));
+    let node = Node::start_with(&discovery, known, |c| c["known"]["generation"] = json!(1));
     let lists = |seen: &[Request]| {
-        seen.iter().filter(|r| r.first.contains("/v1/servers")).cloned().collect::<Vec<_>>()
+        seen.iter().filter(|r| r.start_line.contains("/v1/servers")).cloned().collect::<Vec<_>>()
     };
     let seen = lists(&discovery.peer.wait("two calls for lists", |seen| lists(seen).len() >= 2));
-    assert!(seen[0].first.starts_with("GET /v1/servers?index=1&wait=0 "), "{}", seen[0].first);
-    assert!(seen[1].first.starts_with("GET /v1/servers?index=1&wait="), "{}", seen[1].first);
+    assert!(seen[0].start_line.starts_with("GET /v1/servers?index=1&wait=0 "), "{}", seen[0].start_line);
+    assert!(seen[1].start_line.starts_with("GET /v1/servers?index=1&wait="), "{}", seen[1].start_line);
     assert_eq!(seen[0].connection, seen[1].connection);
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
 }
 
 #[test]
-fn a_sender_is_healthy_only_with_a_list_that_it_can_use() {
+fn healthy_only_with_usable_list() {
     let endpoint = Peer::new(|_| ok());
     let listed = json!([ready("e-1", endpoint.address, 7), ready("e-2", endpoint.address, 8)]);
     let bound = |most: usize| move |c: &mut Value| c["catalogue"] = json!({"max_entries": most});
-    // The list of the configuration is enough while discovery is silent, and is not where it is over its bounds.
+    // While discovery is silent the list of the configuration is enough, unless it exceeds its bounds.
     let silent = Discovery::new(json!([]));
     silent.silence();
-    let known = Node::with(&silent, listed.clone(), bound(2));
+    let known = Node::start_with(&silent, listed.clone(), bound(2));
     assert_eq!(known.health(), Some(200));
-    let over = Node::started(&silent, listed.clone(), bound(1));
-    over.until("it listens", || over.health().is_some());
+    let over = Node::launch_with(&silent, listed.clone(), bound(1));
+    over.wait_until("the sender listens", || over.health().is_some());
     assert_eq!(over.health(), Some(503));
     assert!(over.log().contains("2 endpoints or more, 1 are allowed"), "{}", over.log());
-    // So is a list of discovery that it refuses, until one comes that fits.
+    // A list of discovery that exceeds the bounds is refused, and does not make the sender healthy.
     let discovery = Discovery::new(listed.clone());
-    let refusing = Node::started(&discovery, json!([]), bound(1));
-    refusing.until("the list is refused", || refusing.log().contains("2 endpoints or more, 1 are allowed"));
-    refusing.until("it listens", || refusing.health().is_some());
+    let refusing = Node::launch_with(&discovery, json!([]), bound(1));
+    refusing
+        .wait_until("the list is refused", || refusing.log().contains("2 endpoints or more, 1 are allowed"));
+    refusing.wait_until("the sender listens", || refusing.health().is_some());
     assert_eq!(refusing.health(), Some(503));
-    let calls = |seen: &[Request]| seen.iter().filter(|r| r.first.contains("/v1/servers")).count();
+    let calls = |seen: &[Request]| seen.iter().filter(|r| r.start_line.contains("/v1/servers")).count();
     std::thread::sleep(Duration::from_secs(1));
-    assert_eq!(calls(&discovery.peer.seen()), 1, "it is not fetched again at once");
-    // An old list goes before one that is refused.
-    let old = Node::with(&discovery, json!([ready("e-1", endpoint.address, 7)]), bound(1));
-    old.until("the list is refused", || old.log().contains("2 endpoints or more, 1 are allowed"));
+    assert_eq!(calls(&discovery.peer.seen()), 1, "the list is not fetched again at once");
+    // The list of the configuration stays in force when discovery's list is refused.
+    let old = Node::start_with(&discovery, json!([ready("e-1", endpoint.address, 7)]), bound(1));
+    old.wait_until("the list is refused", || old.log().contains("2 endpoints or more, 1 are allowed"));
     assert_eq!(old.health(), Some(200));
     assert_eq!(old.hand_in("alert", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
-    // Discovery may have told that there is nothing.
+    // An empty list from discovery is usable.
     let none = Discovery::new(json!([]));
-    assert_eq!(Node::with(&none, json!([]), |_| {}).health(), Some(200));
+    assert_eq!(Node::start_with(&none, json!([]), |_| {}).health(), Some(200));
 }
