--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -104,7 +104,7 @@
     assert_eq!(node.hand_in("order", "out", 7, 16_000, b"x"), 202);
     endpoint.wait_for("out", 1);
     node.terminate();
-    node.wait_until("the sender knows", || control_call(control, "GET /healthcheck") == Some(503));
+    node.wait_until("the sender knows", || request_status(control, "GET /healthcheck") == Some(503));
     // Paused over the moment in which it stops accepting: both are due when it goes on.
     node.pause();
     let waiting: Vec<TcpStream> = (0..12)
@@ -279,7 +279,7 @@
         // A message that has no place to go is told of while discovery is down.
         assert_eq!(node.hand_in("order", &format!("nowhere-{sockets}"), 99, 300, b"x"), 202);
         assert_eq!(discovery.wait_for_notice(&format!("nowhere-{sockets}"))["outcome"], "handed_back");
-        assert_eq!(control_call(control, "PUT /endpoints/e-0/maint"), Some(200));
+        assert_eq!(request_status(control, "PUT /endpoints/e-0/maint"), Some(200));
         // Discovery is back, with one more.
         let mut all = listed.clone();
         all.push(ready("new", new.address, 50));
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -678,10 +678,10 @@
     for (id, destination) in [("unreadable", 1), ("asleep", 3), ("the first of two", 5)] {
         not_served(&node, &discovery, id, destination);
     }
-    assert_eq!(node.control(&format!("PUT /endpoints/{longest}/maint")), 200);
-    assert_eq!(node.control(&format!("PUT /endpoints/{longest}n/maint")), 404);
-    assert_eq!(node.control("PUT /endpoints/bad/maint"), 404);
-    assert_eq!(node.control("PUT /endpoints/no-name/maint"), 404);
+    assert_eq!(node.control_status(&format!("PUT /endpoints/{longest}/maint")), 200);
+    assert_eq!(node.control_status(&format!("PUT /endpoints/{longest}n/maint")), 404);
+    assert_eq!(node.control_status("PUT /endpoints/bad/maint"), 404);
+    assert_eq!(node.control_status("PUT /endpoints/no-name/maint"), 404);
     not_served(&node, &discovery, "taken out", MOST);
     assert_eq!(discovery.wholes().len(), 1);
     assert!(trap.seen().is_empty(), "{:?}", trap.seen());
@@ -1082,7 +1082,7 @@
         if change == "maint" {
             self.out.insert(name.clone());
         }
-        assert_eq!(self.node.control(&format!("PUT /endpoints/{name}/{change}")), 200);
+        assert_eq!(self.node.control_status(&format!("PUT /endpoints/{name}/{change}")), 200);
         self.told.push(format!("{name} {change}"));
     }
 
@@ -1331,16 +1331,16 @@
     let mut node = Node::prepare(discovery.address, json!([]), with_control);
     node.restart();
     discovery.wait_watch(5);
-    assert_eq!(node.control("PUT /endpoints/e-9/maint"), 404, "no list has named it");
-    assert_eq!(node.control("PUT /endpoints/e-1/maint"), 200);
+    assert_eq!(node.control_status("PUT /endpoints/e-9/maint"), 404, "no list has named it");
+    assert_eq!(node.control_status("PUT /endpoints/e-1/maint"), 200);
     let several = |node: &Node, peer: &Peer, round: &str, count: usize| {
         (0..count).for_each(|i| delivered(node, peer, &format!("{round}{i}"), 7));
     };
     several(&node, &other, "listed", 5);
     // The only one of a destination for which nothing has come so far.
-    assert_eq!(node.control("PUT /endpoints/e-3/maint"), 200);
+    assert_eq!(node.control_status("PUT /endpoints/e-3/maint"), 200);
     not_served(&node, &discovery, "out", 8);
-    assert_eq!(node.control("PUT /endpoints/e-3/ready"), 200);
+    assert_eq!(node.control_status("PUT /endpoints/e-3/ready"), 200);
     delivered(&node, &idle, "in", 8);
     assert_eq!(idle.seen().len(), 1);
     // A new process knows what operators told before any list names it.
@@ -1350,10 +1350,10 @@
     node.launch();
     discovery.wait_held();
     node.wait_until("the second address answers", || {
-        control_call(node.control.unwrap(), "GET /healthcheck").is_some()
+        request_status(node.control.unwrap(), "GET /healthcheck").is_some()
     });
-    assert_eq!(node.control("PUT /endpoints/e-1/maint"), 200, "calls repeat safely");
-    assert_eq!(node.control("PUT /endpoints/e-2/maint"), 404, "not named yet");
+    assert_eq!(node.control_status("PUT /endpoints/e-1/maint"), 200, "calls repeat safely");
+    assert_eq!(node.control_status("PUT /endpoints/e-2/maint"), 404, "not named yet");
     gate.open();
     node.wait_until("it is healthy", || node.health() == Some(200));
     several(&node, &other, "named", 5);
@@ -1367,9 +1367,9 @@
     assert!(one.seen().is_empty(), "{:?}", one.seen());
     discovery.replace(8, list(&mut random, 8, &[e1]));
     discovery.wait_watch(8);
-    assert_eq!(node.control("GET /healthcheck"), 200, "other destinations have theirs");
+    assert_eq!(node.control_status("GET /healthcheck"), 200, "other destinations have theirs");
     taken_on(&node, "waits", 7, LONG_MS);
-    assert_eq!(node.control("PUT /endpoints/e-1/ready"), 200);
+    assert_eq!(node.control_status("PUT /endpoints/e-1/ready"), 200);
     one.wait_for("waits", 1);
     several(&node, &one, "put back", 3);
     assert!(trap.seen().is_empty());
@@ -1416,7 +1416,7 @@
         node.wait_until("the call is out", || called.load(Ordering::SeqCst));
         // No list names its destination yet.
         taken_on(&node, "held", 9, LONG_MS);
-        assert_eq!(node.control("PUT /endpoints/e-5/maint"), 200);
+        assert_eq!(node.control_status("PUT /endpoints/e-5/maint"), 200);
         Upgraded { node, discovery, slow, quick, trap, gate, entries }
     }
 
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -17,9 +17,9 @@
     let both = json!([ready("e-1", one.address, 7), ready("e-2", other.address, 7)]);
     let discovery = Discovery::new(both.clone());
     let mut node = start_with_control(&discovery);
-    assert_eq!(node.control("GET /healthcheck"), 200);
-    assert_eq!(node.control("PUT /endpoints/e-1/maint"), 200);
-    assert_eq!(node.control("PUT /endpoints/e-1/maint"), 200, "the request is idempotent");
+    assert_eq!(node.control_status("GET /healthcheck"), 200);
+    assert_eq!(node.control_status("PUT /endpoints/e-1/maint"), 200);
+    assert_eq!(node.control_status("PUT /endpoints/e-1/maint"), 200, "the request is idempotent");
     let deliver = |node: &Node, peer: &Peer, id: &str| {
         assert_eq!(node.hand_in("alert", id, 7, 16_000, b"x"), 202);
         peer.wait_for(id, 1);
@@ -35,10 +35,10 @@
     several(&node, "c");
     assert!(one.seen().is_empty());
     discovery.set(json!([ready("e-1", one.address, 7)]));
-    node.wait_until("no usable endpoint is listed", || node.control("GET /healthcheck") == 503);
-    assert_eq!(node.control("PUT /endpoints/e-1/ready"), 200);
-    assert_eq!(node.control("PUT /endpoints/e-1/ready"), 200);
-    assert_eq!(node.control("GET /healthcheck"), 200);
+    node.wait_until("no usable endpoint is listed", || node.control_status("GET /healthcheck") == 503);
+    assert_eq!(node.control_status("PUT /endpoints/e-1/ready"), 200);
+    assert_eq!(node.control_status("PUT /endpoints/e-1/ready"), 200);
+    assert_eq!(node.control_status("GET /healthcheck"), 200);
     deliver(&node, &one, "back");
 }
 
@@ -58,7 +58,7 @@
         ("POST /healthcheck", 405),
         ("GET /endpoints/e-1/maint", 405),
     ] {
-        assert_eq!(node.control(request), status, "{request}");
+        assert_eq!(node.control_status(request), status, "{request}");
     }
     let status = |bytes: &str| send_request(node.control.unwrap(), bytes.as_bytes()).map(|r| r.start_line);
     assert!(status("no call at all\r\n\r\n").unwrap().contains(" 400 "));
@@ -83,7 +83,7 @@
             stream
         })
         .collect();
-    assert_eq!(node.control("GET /healthcheck"), 200);
+    assert_eq!(node.control_status("GET /healthcheck"), 200);
     assert!(node.descriptors() <= before + 8, "{} descriptors, {before} before", node.descriptors());
     drop(unfinished);
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
@@ -98,6 +98,6 @@
     assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
     node.terminate();
-    node.wait_until("the health check fails", || node.control("GET /healthcheck") == 503);
+    node.wait_until("the health check fails", || node.control_status("GET /healthcheck") == 503);
     assert!(node.wait_exit().success());
 }
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -289,7 +289,7 @@
 }
 
 /// Makes a request without a body, such as `GET /healthz`. Returns the status, or None without a response.
-pub fn control_call(at: SocketAddr, call: &str) -> Option<u16> {
+pub fn request_status(at: SocketAddr, call: &str) -> Option<u16> {
     let answer =
         send_request(at, format!("{call} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").as_bytes())?;
     answer.start_line.split(' ').nth(1)?.parse().ok()
@@ -477,7 +477,7 @@
 
     /// Returns the status of a health check; None while nobody listens.
     pub fn health(&self) -> Option<u16> {
-        control_call(self.address, "GET /healthz")
+        request_status(self.address, "GET /healthz")
     }
 
     /// Waits until a health check succeeds.
@@ -531,8 +531,8 @@
     }
 
     /// Makes a request on the control address and returns its status.
-    pub fn control(&self, call: &str) -> u16 {
-        control_call(self.control.expect("the sender has a control address"), call)
+    pub fn control_status(&self, call: &str) -> u16 {
+        request_status(self.control.expect("the sender has a control address"), call)
             .unwrap_or_else(|| panic!("{call}: {}", self.log()))
     }
 
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -200,7 +200,7 @@
         // Segments of 12 KB, so that a few messages start a new one.
         c["limits"]["disk_mb"] = json!(0.2);
     });
-    assert_eq!(node.control("GET /healthcheck"), 200);
+    assert_eq!(node.control_status("GET /healthcheck"), 200);
     for id in ["first", "second"] {
         assert_eq!(node.hand_in("alert", id, 7, 16_000, &[1; 3_000]), 202);
         endpoint.wait_for(id, 1);
@@ -212,10 +212,10 @@
     let refused =
         (0..1_000).find(|number| node.hand_in("alert", &format!("m{number}"), 7, 16_000, &[1; 3_000]) == 503);
     let refused = format!("m{}", refused.expect("a message is refused"));
-    assert_eq!(node.control("GET /healthcheck"), 503);
+    assert_eq!(node.control_status("GET /healthcheck"), 503);
     assert!(node.log().contains("cannot write the journal"), "{}", node.log());
     std::fs::rename(&away, &journal).unwrap();
-    node.wait_until("the sender is healthy again", || node.control("GET /healthcheck") == 200);
+    node.wait_until("the sender is healthy again", || node.control_status("GET /healthcheck") == 200);
     assert_eq!(node.hand_in("alert", "later", 7, 16_000, b"x"), 202);
     endpoint.wait_for("later", 1);
     node.terminate();
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -150,7 +150,7 @@
     gate.open();
     slow.wait_for("m", 2);
     slow.wait_for("n", 1);
-    node.wait_until("the old process is ready", || node.control("GET /healthcheck") == 200);
+    node.wait_until("the old process is ready", || node.control_status("GET /healthcheck") == 200);
 }
 
 #[test]
@@ -179,9 +179,9 @@
     let mut node = start_with_control(&discovery);
     let mut old = node.upgrade();
     let before = old.control.unwrap();
-    assert_eq!(control_call(before, "GET /healthcheck"), Some(200));
-    assert_eq!(control_call(before, "PUT /endpoints/e-9/maint"), Some(404));
-    assert_eq!(control_call(before, "PUT /endpoints/e-1/maint"), Some(200));
+    assert_eq!(request_status(before, "GET /healthcheck"), Some(200));
+    assert_eq!(request_status(before, "PUT /endpoints/e-9/maint"), Some(404));
+    assert_eq!(request_status(before, "PUT /endpoints/e-1/maint"), Some(200));
     for i in 0..4 {
         assert_eq!(node.hand_in("alert", &format!("m{i}"), 7, 16_000, b"x"), 202);
         other.wait_for(&format!("m{i}"), 1);
@@ -219,7 +219,7 @@
     std::fs::remove_file(node.state().join("handover")).unwrap();
     std::fs::create_dir(node.state().join("handover")).unwrap();
     node.restart();
-    assert_eq!(node.control("GET /healthcheck"), 200);
+    assert_eq!(node.control_status("GET /healthcheck"), 200);
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
     endpoint.wait_for("m", 1);
 }
