--- a/src/bin/sender/journal.rs
+++ b/src/bin/sender/journal.rs
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Syncs on another thread. Meanwhile connections are read and replies arrive, which then share one sync.
+    /// Syncs on another thread. The inputs that arrive in the meantime share the next sync.
     pub async fn sync(&mut self) -> io::Result<()> {
         self.synced_at = Instant::now();
         let Some(mut unsynced) = self.log.begin_sync(&self.pending)? else { return Ok(()) };
