--- a/src/bin/sender/core/tests.rs
+++ b/src/bin/sender/core/tests.rs
@@ -453,7 +453,7 @@
         core_in.try_send(Input::Catalogue(second)).unwrap();
         core_in.try_send(Input::HandOver(reply)).unwrap();
         let state = state.await.unwrap().expect("the core hands over");
-        let told = new.ids().filter(|&endpoint| state.policy.knows_endpoint(endpoint)).count();
-        assert_eq!(told as u64, DESTINATIONS);
+        let known = new.ids().filter(|&endpoint| state.policy.knows_endpoint(endpoint)).count();
+        assert_eq!(known as u64, DESTINATIONS);
     });
 }
--- a/src/bin/sender/handover.rs
+++ b/src/bin/sender/handover.rs
@@ -319,18 +319,18 @@
 }
 
 /// Hands over to the new process, and forwards what still reaches this one until the new process dies or this
-/// one is told to end (`told`), and then for `grace` at most.
+/// one is told to end (`terminated`), and then for `grace` at most.
 pub async fn serve_successor(
     successor: Successor,
     (state, listener): (HandoverState, &TcpListener),
     work: RemainingWork,
     server: Rc<Server>,
     mut moved: mpsc::UnboundedReceiver<Moved>,
-    (told, grace): (impl Future<Output = ()>, Duration),
+    (terminated, grace): (impl Future<Output = ()>, Duration),
 ) -> HandoverEnd {
     let Successor { mut reader, writer } = successor;
     let RemainingWork { mut inbox, mut control_inbox, mut attempts_in_flight } = work;
-    let mut told = pin!(told);
+    let mut terminated = pin!(terminated);
     let mut end_by: Option<Instant> = None;
     let mut number = 0;
     // Replies that callers wait for, by the number of their frame: at most one for each connection to this
@@ -356,7 +356,7 @@
         }
         tokio::select! {
             biased;
-            () = &mut told, if end_by.is_none() => end_by = Some(Instant::now() + grace),
+            () = &mut terminated, if end_by.is_none() => end_by = Some(Instant::now() + grace),
             Some(input) = control_inbox.recv() => match input {
                 Input::HealthCheck(reply) => _ = reply.send(end_by.is_none()),
                 Input::Maintenance { name, out, reply } => {
--- a/src/records.rs
+++ b/src/records.rs
@@ -86,7 +86,7 @@
     /// then hand the message in again, so the next process must not send it as well.
     #[serde(rename = "D")]
     NoticeStarted(u64, Undelivered),
-    /// Nothing more is owed for the message.
+    /// The message has ended: nothing more has to be done for it.
     #[serde(rename = "E")]
     Ended(u64),
 }
--- a/tests/sender.rs
+++ b/tests/sender.rs
@@ -214,11 +214,11 @@
     let endpoint = first_then_ok(|| answer("429 Wait", "Retry-After: 1.2\r\n", ""));
     let (_discovery, node) = start_with_one_endpoint(&endpoint);
     assert_eq!(node.hand_in("alert", "told", 7, 16_000, b"x"), 202);
-    let told = endpoint.wait_for("told", 1).remove(0).at;
+    let refused_at = endpoint.wait_for("told", 1).remove(0).at;
     assert_eq!(node.hand_in("alert", "other", 7, 16_000, b"x"), 202);
     let (again, other) =
         (endpoint.wait_for("told", 2).remove(1).at, endpoint.wait_for("other", 1).remove(0).at);
-    assert!(again.min(other) - told >= Duration::from_millis(1_200));
+    assert!(again.min(other) - refused_at >= Duration::from_millis(1_200));
 }
 
 /// Messages held during a Retry-After are sent in one call, and each ends as the answer says for it.
@@ -698,7 +698,7 @@
     discovery.set(json!([ready("e-1", slow.address, 7), ready("e-2", other.address, 7)]));
     discovery.peer.wait("the watch to continue", |s| s.iter().any(|r| r.start_line.contains("index=2")));
     assert_eq!(node.hand_in("order", "told", 7, 16_000, b"x"), 202);
-    let told = other.wait_for("told", 1).remove(0).at;
+    let refused_at = other.wait_for("told", 1).remove(0).at;
     let slow = slow.open();
     node.wait_until("the connection is made", || slow.connections() > 0);
     let calls = |id: &str| {
@@ -706,7 +706,7 @@
         all.filter(|r| r.id() == id).map(|r| r.at).collect::<Vec<_>>()
     };
     node.wait_until("both are delivered", || calls("connecting").len() == 1 && calls("told").len() == 2);
-    assert!(calls("connecting")[0] - told >= Duration::from_secs(3));
+    assert!(calls("connecting")[0] - refused_at >= Duration::from_secs(3));
 }
 
 #[test]
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -112,13 +112,13 @@
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
     let mut node = start_with_control(&discovery);
     assert_eq!(node.hand_in("alert", "m", 7, 16_000, b"x"), 202);
-    let told = endpoint.wait_for("m", 1).remove(0).at;
+    let refused_at = endpoint.wait_for("m", 1).remove(0).at;
     endpoint.script(|_| ok());
     let mut old = node.upgrade();
     assert!(old.finish().success());
     assert_eq!(node.hand_in("alert", "n", 7, 16_000, b"x"), 202);
     endpoint.wait_for("n", 1);
-    let after = endpoint.wait_for("m", 2)[1].at - told;
+    let after = endpoint.wait_for("m", 2)[1].at - refused_at;
     assert!(after >= WAIT, "{after:?}");
 
     // The calls of the old process use all slots that one destination may have, so the new one sends nothing.
