--- a/src/listed.rs
+++ b/src/listed.rs
@@ -1,26 +1,26 @@
-//! A catalogue as the policy reads it: endpoints in the settings' numbers of kinds and zones.
+//! The catalogue as a directory for the policy: machine types and zones become the numbers of the settings.
 
 use crate::api::{Condition, DestId, EndpointId, Entry};
 use crate::on_demand::Directory;
 use catalogue::{Catalogue, Lifecycle};
 
-/// The words that the settings number, each at its number.
+/// The names of kinds and zones; the index of each is its number in the settings.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsNames {
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
 }
 
-/// A snapshot with the settings' words.
+/// A snapshot of the catalogue with the names of the settings.
 #[derive(Clone, Copy)]
 pub struct CatalogueDirectory<'a> {
     pub catalogue: &'a Catalogue,
     pub names: &'a SettingsNames,
 }
 
-/// What the settings don't know has no number of theirs.
-fn number(words: &[String], word: &str) -> usize {
-    words.iter().position(|known| known == word).unwrap_or(usize::MAX)
+/// Returns the number of a name, or `usize::MAX` if the settings do not have it.
+fn number(names: &[String], name: &str) -> usize {
+    names.iter().position(|known| known == name).unwrap_or(usize::MAX)
 }
 
 impl Directory for CatalogueDirectory<'_> {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,89 +1,105 @@
-//! The settings object, read into `api::Settings` for both programs. Unknown keys are skipped.
+//! Reads the settings object into [`Settings`] and [`ProgramSettings`], for both programs. Unknown keys are
+//! ignored.
 use crate::api::*;
 use serde_json::Value;
 
-struct At<'a> {
+/// Numbers must be below this, as times become 64-bit integers.
+const NUMBER_BOUND: f64 = 9e18;
+
+/// A JSON value and its path in the settings object, for error messages.
+struct Node<'a> {
     value: &'a Value,
     path: String,
 }
 
-impl<'a> At<'a> {
-    fn get(&self, key: &str) -> At<'a> {
+impl<'a> Node<'a> {
+    /// Returns the value of a key, or null if there is none.
+    fn get(&self, key: &str) -> Node<'a> {
         static NULL: Value = Value::Null;
         let path = if self.path.is_empty() { key.to_string() } else { format!("{}.{key}", self.path) };
-        At { value: self.value.get(key).unwrap_or(&NULL), path }
+        Node { value: self.value.get(key).unwrap_or(&NULL), path }
     }
 
-    fn fail<T>(&self, what: &str) -> Result<T, String> {
-        Err(format!("{} {what}", self.path))
+    /// Returns an error that names this value by its path.
+    fn error<T>(&self, problem: &str) -> Result<T, String> {
+        Err(format!("{} {problem}", self.path))
     }
 
-    fn number(&self, low: f64) -> Result<f64, String> {
+    /// Reads a number that is at least `min`.
+    fn number(&self, min: f64) -> Result<f64, String> {
         match self.value.as_f64() {
-            Some(n) if n >= low && n < 9e18 => Ok(n),
-            Some(n) => self.fail(&format!("is out of range: {n}")),
-            None if self.value.is_null() => self.fail("is missing"),
-            None => self.fail("is not a number"),
+            Some(n) if n >= min && n < NUMBER_BOUND => Ok(n),
+            Some(n) => self.error(&format!("is out of range: {n}")),
+            None if self.value.is_null() => self.error("is missing"),
+            None => self.error("is not a number"),
         }
     }
 
-    fn number_or(&self, low: f64, default: f64) -> Result<f64, String> {
+    /// Reads a number that is at least `min`, or returns the default if the value is missing.
+    fn number_or(&self, min: f64, default: f64) -> Result<f64, String> {
         if self.value.is_null() {
             Ok(default)
         } else {
-            self.number(low)
+            self.number(min)
         }
     }
 
+    /// Reads a flag that is false if the value is missing.
     fn flag(&self) -> Result<bool, String> {
         match self.value {
             Value::Null => Ok(false),
             Value::Bool(b) => Ok(*b),
-            _ => self.fail("is not true or false"),
+            _ => self.error("is not true or false"),
         }
     }
 
-    fn word(&self) -> Result<&'a str, String> {
+    /// Reads a text.
+    fn text(&self) -> Result<&'a str, String> {
         match self.value {
             Value::String(s) => Ok(s),
-            Value::Null => self.fail("is missing"),
-            _ => self.fail("is not a text"),
+            Value::Null => self.error("is missing"),
+            _ => self.error("is not a text"),
         }
     }
 
-    fn list(&self) -> Result<Vec<At<'a>>, String> {
+    /// Reads a list that is empty if the value is missing.
+    fn list(&self) -> Result<Vec<Node<'a>>, String> {
         match self.value {
             Value::Null => Ok(Vec::new()),
             Value::Array(items) => Ok(items
                 .iter()
                 .enumerate()
-                .map(|(i, value)| At { value, path: format!("{}[{i}]", self.path) })
+                .map(|(i, value)| Node { value, path: format!("{}[{i}]", self.path) })
                 .collect()),
-            _ => self.fail("is not a list"),
+            _ => self.error("is not a list"),
         }
     }
 }
 
-/// What a program needs besides the module's settings.
+/// What a program needs of the settings besides those of the policy.
 #[derive(Clone, Debug)]
 pub struct ProgramSettings {
-    /// Where x0 and x1 stand in a load report.
+    /// Positions of x0 (unused share of the allowance) and x1 (rate limit) in a load report.
     pub remaining_column: Option<usize>,
     pub limit_column: Option<usize>,
-    /// Names in the order of the module's numbers.
+    /// Names, in the order of their numbers in [`Settings`].
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
 }
 
-fn names(items: Vec<At>, key: Option<&str>) -> Vec<String> {
-    let name = |i: &At| key.map_or(i.value, |k| i.get(k).value).as_str().unwrap_or_default().to_string();
+/// Returns the texts of list items, or of their field `key`; the empty text where there is none.
+fn names(items: Vec<Node>, key: Option<&str>) -> Vec<String> {
+    let name = |item: &Node| {
+        key.map_or(item.value, |key| item.get(key).value).as_str().unwrap_or_default().to_string()
+    };
     items.iter().map(name).collect()
 }
 
+/// Reads the settings object. An error names the field and what is wrong with it.
 pub fn read(value: &Value) -> Result<(Settings, ProgramSettings), String> {
-    let root = At { value, path: String::new() };
+    let root = Node { value, path: String::new() };
     if !value.is_object() {
         return Err("not an object".to_string());
     }
@@ -92,23 +108,23 @@
     let prices = root.get("Prices");
     let family = root.get("FamilyInfo");
     let mut classes = Vec::new();
-    for c in root.get("Services").list()? {
-        let effect = match c.get("Effect").word()? {
+    for class in root.get("Services").list()? {
+        let effect = match class.get("Effect").text()? {
             "safe" => Effect::Safe,
             "keyed" => Effect::Keyed,
             "unsafe" => Effect::Unsafe,
-            _ => return c.get("Effect").fail("is none of safe, keyed, unsafe"),
+            _ => return class.get("Effect").error("is none of safe, keyed, unsafe"),
         };
-        let dedup_scope = match c.get("DedupScope").word().unwrap_or("all") {
+        let dedup_scope = match class.get("DedupScope").text().unwrap_or("all") {
             "all" | "" => DedupScope::All,
             "zone" => DedupScope::Zone,
             _ => DedupScope::Endpoint,
         };
-        let window = c.get("WindowNs");
+        let window = class.get("WindowNs");
         classes.push(Class {
-            latency_target: c.get("PromiseNs").number(1.0)? as Ns,
-            latency_target_per_cost: c.get("AimStretch").number_or(0.0, 0.0)?,
-            deadline: c.get("DeadlineNs").number(1.0)? as Ns,
+            latency_target: class.get("PromiseNs").number(1.0)? as Ns,
+            latency_target_per_cost: class.get("AimStretch").number_or(0.0, 0.0)?,
+            deadline: class.get("DeadlineNs").number(1.0)? as Ns,
             effect,
             dedup_scope,
             dedup_window: if effect == Effect::Keyed {
@@ -116,13 +132,13 @@
             } else {
                 window.number_or(0.0, 0.0)?
             } as Ns,
-            worth: c.get("Worth").number_or(0.0, 1.0)?,
-            late_worth: c.get("LateWorth").number_or(0.0, 0.0)?,
-            in_order: c.get("SerialByKey").flag()?,
+            worth: class.get("Worth").number_or(0.0, 1.0)?,
+            late_worth: class.get("LateWorth").number_or(0.0, 0.0)?,
+            in_order: class.get("SerialByKey").flag()?,
         });
     }
     if classes.is_empty() {
-        return root.get("Services").fail("is missing or empty");
+        return root.get("Services").error("is missing or empty");
     }
     let batches = family.get("KindBatch").list()?;
     let separate = family.get("SeparateRoutes").list()?;
@@ -130,26 +146,26 @@
     let kinds = (0..kinds)
         .map(|i| {
             Ok(EndpointKind {
-                max_batch: batches.get(i).map_or(Ok(1.0), |b| b.number(0.0))?.max(1.0) as usize,
-                separate_routes: separate.get(i).map_or(Ok(false), |s| s.flag())?,
+                max_batch: batches.get(i).map_or(Ok(1.0), |batch| batch.number(0.0))?.max(1.0) as usize,
+                separate_routes: separate.get(i).map_or(Ok(false), |separate_route| separate_route.flag())?,
             })
         })
         .collect::<Result<Vec<_>, String>>()?;
     let tenants = root.get("Realms").list()?;
     let tenants = tenants
         .iter()
-        .map(|t| Ok(Tenant { quota_per_s: t.get("QuotaPerS").number_or(0.0, f64::MAX)? }))
+        .map(|tenant| Ok(Tenant { quota_per_s: tenant.get("QuotaPerS").number_or(0.0, f64::MAX)? }))
         .collect::<Result<Vec<_>, String>>()?;
-    let weights = root.get("Weights").word().unwrap_or("silent");
+    let weights = root.get("Weights").text().unwrap_or("silent");
     let fields = root.get("Feedback").get("Fields").list()?;
-    let column = |name: &str| fields.iter().position(|f| f.value.as_str() == Some(name));
+    let column = |name: &str| fields.iter().position(|field| field.value.as_str() == Some(name));
     let fees = family.get("RouteFee").list()?;
     let settings = Settings {
         classes,
         kinds,
         tenants,
         over_quota_worth: root.get("OverShareWorth").number_or(0.0, 1.0)?,
-        exponential_decay: family.get("Decay").word().unwrap_or("line") == "halves",
+        exponential_decay: family.get("Decay").text().unwrap_or("line") == "halves",
         sender_count: root.get("NInstances").number(1.0)? as usize,
         zone: root.get("Zone").number_or(0.0, 0.0)? as usize,
         tick: root.get("TickNs").number(0.0)? as Ns,
@@ -174,7 +190,7 @@
         price_cross_zone: prices.get("CrossZone").number_or(0.0, 0.0)?,
         price_refused: family.get("RefusalCost").number_or(0.0, 0.0)?,
         price_waste: prices.get("Waste").number_or(0.0, 0.0)?,
-        route_fee: fees.iter().map(|f| f.number(0.0)).collect::<Result<Vec<_>, String>>()?,
+        route_fee: fees.iter().map(|fee| fee.number(0.0)).collect::<Result<Vec<_>, String>>()?,
     };
     let around = ProgramSettings {
         remaining_column: column("x0"),
