--- a/src/on_demand.rs
+++ b/src/on_demand.rs
@@ -1,45 +1,46 @@
-//! Lists on demand: the policy is told of a destination only once there is a message for it.
+//! Lists on demand: the policy is told of a destination only when there is a message for it.
 //!
-//! The caller keeps what is listed in a [`Directory`] of its own, in whatever compact form suits it. This module turns
-//! messages and changes of the directory into the [`Event::LookedUp`] and [`Event::List`] that the policy needs, so that
-//! it holds state for the destinations that it works on, and never for all that are listed.
+//! The caller keeps the listed endpoints in a [`Directory`] of its own, in any compact form. This module
+//! turns messages and changes of the directory into the [`Event::LookedUp`] and [`Event::List`] that the
+//! policy needs. So the policy holds state for the destinations in use, and not for all that are listed.
 
 use crate::api::{Condition, DestId, EndpointId, Entry, Event};
 use crate::policy::Sender;
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Sender {
-    /// Whether it holds state for a destination: changes of the list that concern it have to be told.
+    /// Returns whether it holds state for a destination; changes of the list that concern such a destination
+    /// have to be told.
     pub fn knows_destination(&self, destination: DestId) -> bool {
         self.dests.contains_key(&destination)
     }
 
-    /// Whether it holds state for an endpoint.
+    /// Returns whether it holds state for an endpoint.
     pub fn knows_endpoint(&self, endpoint: EndpointId) -> bool {
         self.endpoints.contains_key(&endpoint)
     }
 
-    /// The destinations that it holds state for, in ascending order.
+    /// Returns the destinations that it holds state for, in ascending order.
     pub fn known_destinations(&self) -> impl Iterator<Item = DestId> + '_ {
         self.dests.keys().copied()
     }
 
-    /// Whether it has messages for a destination: held, or in calls that are out.
+    /// Returns whether it has messages for a destination, held or in calls in flight.
     pub fn has_work(&self, destination: DestId) -> bool {
         self.active.contains(&destination)
     }
 
-    /// The endpoints of a destination that it holds state for.
+    /// Returns the endpoints of a destination that it holds state for.
     fn known_endpoints_of(&self, destination: DestId) -> &[EndpointId] {
-        self.dests.get(&destination).map_or(&[], |dest| &dest.places)
+        self.dests.get(&destination).map_or(&[], |dest| &dest.endpoints)
     }
 
-    /// The endpoints that it holds state for, in ascending order.
+    /// Returns the endpoints that it holds state for, in ascending order.
     pub fn known_endpoints(&self) -> impl Iterator<Item = EndpointId> + '_ {
         self.endpoints.keys().copied()
     }
 
-    /// An endpoint as it was last told, where that was ready; without a hint.
+    /// Returns the entry of an endpoint whose last entry was ready, without a rate hint.
     fn ready_entry(&self, endpoint: EndpointId) -> Option<Entry> {
         let known = self.endpoints.get(&endpoint).filter(|e| e.listed)?;
         let (dest, kind, zone) = (known.dest, known.kind, known.zone);
@@ -47,30 +48,31 @@
     }
 }
 
-/// What is listed, by endpoint and by destination.
+/// The listed endpoints, by number and by destination.
 pub trait Directory {
-    /// None: not listed, or not any more.
+    /// Returns the entry of an endpoint, or `None` if it is not listed.
     fn entry(&self, endpoint: EndpointId) -> Option<Entry>;
-    /// In ascending order.
+    /// Returns the endpoints of a destination in ascending order.
     fn endpoints_of(&self, destination: DestId) -> Vec<EndpointId>;
 }
 
-/// Up to so many known destinations are told of a replaced directory in one event.
-const TOLD_AT_ONCE: usize = 256;
+/// Maximum number of known destinations for which the policy is told of a replaced directory in one event.
+const MAX_TOLD_AT_ONCE: usize = 256;
 
 /// Decides which entries of a directory the policy is told.
 #[derive(Default)]
 pub struct OnDemandList {
-    /// Known destinations without work that are still to be told of a replaced directory.
-    behind: BTreeSet<DestId>,
+    /// Known destinations without work for which the policy is still to be told of a replaced directory.
+    pending: BTreeSet<DestId>,
     /// Destinations of messages in events that the policy has not handled yet.
-    awaited: BTreeSet<DestId>,
-    /// Entries in events that the policy has not handled yet, as they were last told.
-    told: BTreeMap<EndpointId, Entry>,
+    unhandled_destinations: BTreeSet<DestId>,
+    /// Entries in events that the policy has not handled yet, as last told.
+    unhandled_entries: BTreeMap<EndpointId, Entry>,
 }
 
 impl OnDemandList {
-    /// To be called before an [`Event::Message`] or [`Event::Resumed`] goes into `events`.
+    /// Adds what the policy must know before an [`Event::Message`] or [`Event::Resumed`] for `destination`.
+    /// Call it before that event is added to `events`.
     pub fn before_message(
         &mut self,
         policy: &Sender,
@@ -78,20 +80,20 @@
         destination: DestId,
         events: &mut Vec<Event>,
     ) {
-        if self.behind.remove(&destination) {
+        if self.pending.remove(&destination) {
             self.tell(policy, directory, &[destination], events);
         }
-        if !self.awaited.insert(destination) || policy.knows_destination(destination) {
+        if !self.unhandled_destinations.insert(destination) || policy.knows_destination(destination) {
             return;
         }
         let entries = entries_of(directory, destination);
         if !entries.is_empty() {
-            self.note(&entries);
+            self.remember_told(&entries);
             events.push(Event::LookedUp { entries });
         }
     }
 
-    /// To be called after `endpoints` have changed in the directory, those that left it included.
+    /// Adds what the policy must know after `endpoints` have changed in the directory or have left it.
     pub fn endpoints_changed(
         &mut self,
         policy: &Sender,
@@ -102,57 +104,58 @@
         let change = |&endpoint: &EndpointId| self.change(policy, directory, endpoint);
         let entries: Vec<Entry> = endpoints.iter().filter_map(change).collect();
         if !entries.is_empty() {
-            self.note(&entries);
+            self.remember_told(&entries);
             events.push(Event::List { whole: false, entries });
         }
     }
 
-    /// To be called after the whole directory was replaced, also by the first one. Where the policy knows many
-    /// destinations it is told of those with work; for the others there is [`OnDemandList::tell_pending`].
+    /// Adds what the policy must know after the whole directory was replaced, also for the first time. If the
+    /// policy knows many destinations, this covers only those with work; [`OnDemandList::tell_pending`] tells
+    /// of the others.
     pub fn directory_replaced(
         &mut self,
         policy: &Sender,
         directory: &impl Directory,
         events: &mut Vec<Event>,
     ) {
-        self.behind.clear();
+        self.pending.clear();
         let known: BTreeSet<DestId> =
-            policy.known_destinations().chain(self.awaited.iter().copied()).collect();
-        if known.len() <= TOLD_AT_ONCE {
+            policy.known_destinations().chain(self.unhandled_destinations.iter().copied()).collect();
+        if known.len() <= MAX_TOLD_AT_ONCE {
             let entries = known.into_iter().flat_map(|destination| entries_of(directory, destination));
             let entries: Vec<Entry> = entries.collect();
-            self.note(&entries);
+            self.remember_told(&entries);
             events.push(Event::List { whole: true, entries });
             return;
         }
-        let in_use = |&id: &DestId| policy.has_work(id) || self.awaited.contains(&id);
-        let (working, behind): (Vec<DestId>, Vec<DestId>) = known.into_iter().partition(in_use);
-        self.behind = behind.into_iter().collect();
-        // What the policy is told ahead of this, in events that it has not handled, may have left the directory.
-        let told: Vec<EndpointId> = self.told.keys().copied().collect();
+        let in_use = |&id: &DestId| policy.has_work(id) || self.unhandled_destinations.contains(&id);
+        let (working, pending): (Vec<DestId>, Vec<DestId>) = known.into_iter().partition(in_use);
+        self.pending = pending.into_iter().collect();
+        // Entries that the policy is told in earlier, unhandled events may have left the directory.
+        let told: Vec<EndpointId> = self.unhandled_entries.keys().copied().collect();
         self.endpoints_changed(policy, directory, &told, events);
         self.tell(policy, directory, &working, events);
     }
 
-    /// Whether destinations are still to be told of.
+    /// Returns whether the policy is still to be told of some destinations.
     pub fn has_pending(&self) -> bool {
-        !self.behind.is_empty()
+        !self.pending.is_empty()
     }
 
-    /// Tells the policy of up to `most` further destinations of a replaced directory.
+    /// Tells the policy of up to `max_destinations` further destinations of a replaced directory.
     pub fn tell_pending(
         &mut self,
         policy: &Sender,
         directory: &impl Directory,
-        most: usize,
+        max_destinations: usize,
         events: &mut Vec<Event>,
     ) {
-        let next = std::iter::from_fn(|| self.behind.pop_first()).take(most);
+        let next = std::iter::from_fn(|| self.pending.pop_first()).take(max_destinations);
         let next: Vec<DestId> = next.collect();
         self.tell(policy, directory, &next, events);
     }
 
-    /// Tells the policy what the directory says of destinations that it knows, and which of their endpoints are gone.
+    /// Tells the policy of the entries of destinations that it knows, and which of their endpoints are gone.
     fn tell(
         &mut self,
         policy: &Sender,
@@ -170,28 +173,33 @@
         self.endpoints_changed(policy, directory, &endpoints, events);
     }
 
-    /// To be called once the policy has handled the events.
+    /// Notes that the policy has handled all events so far.
     pub fn events_handled(&mut self) {
-        self.awaited.clear();
-        self.told.clear();
+        self.unhandled_destinations.clear();
+        self.unhandled_entries.clear();
     }
 
-    /// What the policy needs to be told of a changed endpoint, if anything.
+    /// Returns the entry that the policy must be told for a changed endpoint, if any.
     fn change(&self, policy: &Sender, directory: &impl Directory, endpoint: EndpointId) -> Option<Entry> {
-        let known =
-            |entry: &Entry| policy.knows_destination(entry.dest) || self.awaited.contains(&entry.dest);
-        directory.entry(endpoint).filter(known).or_else(|| {
-            // It left the list, or moved to a destination that needs no state: it is gone where it was.
-            let told = self.told.get(&endpoint).copied().or_else(|| policy.ready_entry(endpoint))?;
-            Some(Entry { condition: Condition::Gone, ..told })
+        let needed = |entry: &Entry| {
+            policy.knows_destination(entry.dest) || self.unhandled_destinations.contains(&entry.dest)
+        };
+        directory.entry(endpoint).filter(needed).or_else(|| {
+            // The endpoint left the list, or moved to a destination without state: it is gone from its old
+            // destination.
+            let last_told =
+                self.unhandled_entries.get(&endpoint).copied().or_else(|| policy.ready_entry(endpoint))?;
+            Some(Entry { condition: Condition::Gone, ..last_told })
         })
     }
 
-    fn note(&mut self, entries: &[Entry]) {
-        self.told.extend(entries.iter().map(|entry| (entry.endpoint, *entry)));
+    /// Notes entries that go into an event.
+    fn remember_told(&mut self, entries: &[Entry]) {
+        self.unhandled_entries.extend(entries.iter().map(|entry| (entry.endpoint, *entry)));
     }
 }
 
+/// Returns the entries of a destination.
 fn entries_of(directory: &impl Directory, destination: DestId) -> Vec<Entry> {
     let endpoints = directory.endpoints_of(destination);
     endpoints.into_iter().filter_map(|endpoint| directory.entry(endpoint)).collect()
--- a/src/policy/caps.rs
+++ b/src/policy/caps.rs
@@ -1,45 +1,56 @@
-//! The cap on calls in flight, by destination: the level that scores best by the latencies measured.
+//! The cap on calls in flight to a destination: the concurrency that scores best by the measured latencies.
 
-use super::{LEAST_PATIENCE, MEASURED, PATIENCE};
+use super::{MIN_OVERDUE, MIN_WEIGHT, OVERDUE_DEVIATIONS};
 use crate::api::{Ns, Settings, SECOND};
 use crate::state::Dest;
 
-/// Caps run from one to three quarters of the slots.
-pub(super) fn top(cfg: &Settings) -> usize {
-    (cfg.slots * 3 / 4).max(1)
+/// Returns the highest cap: three quarters of the slots, at least 1.
+pub(super) fn max_cap(settings: &Settings) -> usize {
+    (settings.slots * 3 / 4).max(1)
 }
 
-/// How long a call may be out before it is overdue.
-pub(super) fn patience(cfg: &Settings, dest: &Dest, now: Ns) -> Ns {
-    let aim = cfg.classes.iter().map(|c| c.latency_target).max().unwrap_or(SECOND).max(LEAST_PATIENCE);
-    if dest.latency.aged(now) < MEASURED {
-        return aim;
+/// Returns how long a call may be in flight before it is overdue.
+pub(super) fn overdue_after(settings: &Settings, dest: &Dest, now: Ns) -> Ns {
+    let max_target =
+        settings.classes.iter().map(|class| class.latency_target).max().unwrap_or(SECOND).max(MIN_OVERDUE);
+    if dest.latency.weight_at(now) < MIN_WEIGHT {
+        return max_target;
     }
-    (dest.latency.bound(PATIENCE) as Ns).clamp(LEAST_PATIENCE, aim)
+    (dest.latency.mean_plus_deviations(OVERDUE_DEVIATIONS) as Ns).clamp(MIN_OVERDUE, max_target)
 }
 
-/// The design's rule: the level with the best level x share of classes that meet their aim there.
-pub(super) fn choose_cap(cfg: &Settings, dest: &mut Dest, now: Ns) {
-    let top = top(cfg);
-    let shares: Vec<f64> = (0..cfg.classes.len()).map(|class| dest.arrivals.aged(class, now)).collect();
-    let mut scores = vec![0.0; top + 1];
-    for (class, settings) in cfg.classes.iter().enumerate() {
-        let cells = dest.cells.range((class, 1)..=(class, top)).iter();
-        let measured: Vec<_> = cells.filter(|(_, cell)| cell.aged(now) >= MEASURED).collect();
-        for (level, score) in scores.iter_mut().enumerate().skip(1) {
-            // An unmeasured level borrows the nearest; an unmeasured class just meets its aim at the cap.
-            let meets = match measured.iter().min_by_key(|((_, l), _)| (l.abs_diff(level), *l)) {
-                Some((_, nearest)) => nearest.bound(1.0) < settings.latency_target as f64,
-                None => level <= dest.cap,
+/// Chooses the cap of a destination: the concurrency with the highest product of concurrency and share of the
+/// classes that meet their latency target at it.
+pub(super) fn choose_cap(settings: &Settings, dest: &mut Dest, now: Ns) {
+    let max_cap = max_cap(settings);
+    let class_weights: Vec<f64> =
+        (0..settings.classes.len()).map(|class| dest.arrivals.weight_at(class, now)).collect();
+    let mut scores = vec![0.0; max_cap + 1];
+    for (class, class_settings) in settings.classes.iter().enumerate() {
+        let latencies = dest.latencies.range((class, 1)..=(class, max_cap)).iter();
+        let measured: Vec<_> =
+            latencies.filter(|(_, latency)| latency.weight_at(now) >= MIN_WEIGHT).collect();
+        for (concurrency, score) in scores.iter_mut().enumerate().skip(1) {
+            // A concurrency without a measurement uses the nearest one with. A class without any measurement
+            // counts as just meeting its target at the present cap.
+            let meets_target = match measured
+                .iter()
+                .min_by_key(|((_, measured_at), _)| (measured_at.abs_diff(concurrency), *measured_at))
+            {
+                Some((_, nearest)) => {
+                    nearest.mean_plus_deviations(1.0) < class_settings.latency_target as f64
+                }
+                None => concurrency <= dest.cap,
             };
-            if meets {
-                *score += level as f64 * shares[class];
+            if meets_target {
+                *score += concurrency as f64 * class_weights[class];
             }
         }
     }
-    let best = (1..=top).max_by(|&a, &b| scores[a].total_cmp(&scores[b])).unwrap_or(1);
-    if scores[best] <= 0.0 && shares.iter().sum::<f64>() > MEASURED {
-        // Every class misses everywhere (hung): the paper would keep the cap; the slots are others' now.
+    let best = (1..=max_cap).max_by(|&a, &b| scores[a].total_cmp(&scores[b])).unwrap_or(1);
+    if scores[best] <= 0.0 && class_weights.iter().sum::<f64>() > MIN_WEIGHT {
+        // Every class misses its target at every concurrency, as the destination hangs. The paper would keep
+        // the cap; here the slots go to other destinations.
         dest.cap = 1;
     } else if scores[best] > scores[dest.cap] * (1.0 + 1e-9) {
         dest.cap = best;
--- a/src/policy/listed.rs
+++ b/src/policy/listed.rs
@@ -1,165 +1,198 @@
-//! State by endpoint: made as lists, operators and messages name them, dropped where nothing depends on it.
+//! State of endpoints, routes and destinations: created when lists, operators and messages name them, dropped
+//! when nothing depends on it.
 
-use super::caps::top;
-use super::{Sender, FADED, FEW, FORGET_AT_ONCE, IDLE_FOR, KEEP, MOST_IDLE, ROUGH};
+use super::caps::max_cap;
+use super::{
+    Sender, CLEANUP_BATCH, DESTINATION_IDLE_TIMEOUT, KEEP_DELISTED, MAX_ACTIVE_SENDERS,
+    MAX_IDLE_DESTINATIONS, NEGLIGIBLE_WEIGHT, ROUGH_LIMIT_SHARE,
+};
 use crate::api::*;
 use crate::state::*;
-use crate::statistics::Use;
+use crate::statistics::RateMeter;
 
 impl Sender {
-    /// Begins to drop what the list no longer names and what is not used, where nothing depends on it: what
-    /// is idle for long, and the longest idle past a bound that does not count what holds calls back.
-    pub(super) fn begin_to_forget(&mut self) {
+    /// Starts to drop the state of endpoints that are not listed any more and of unused destinations, where
+    /// nothing depends on it. Unused are destinations that were idle for a long time, and those idle for the
+    /// longest beyond a maximum number; those whose state holds calls back are not counted.
+    pub(super) fn start_cleanup(&mut self) {
         let idle = self.dests.iter().filter(|(id, dest)| !self.active.contains(id) && !dest.restrains);
         let mut idle: Vec<(Ns, DestId)> = idle.map(|(&id, dest)| (dest.used_at, id)).collect();
         idle.sort_unstable();
-        let old = idle.partition_point(|&(used_at, _)| self.now - used_at >= IDLE_FOR);
-        let unused = if self.looks_up { old.max(idle.len().saturating_sub(MOST_IDLE)) } else { 0 };
-        self.unused_to = unused.checked_sub(1).map(|last| idle[last]);
-        (self.forgot_at, self.forgetting) = (self.now, Some(0));
+        let timed_out = idle.partition_point(|&(used_at, _)| self.now - used_at >= DESTINATION_IDLE_TIMEOUT);
+        let unused_count =
+            if self.on_demand { timed_out.max(idle.len().saturating_sub(MAX_IDLE_DESTINATIONS)) } else { 0 };
+        self.last_unused = unused_count.checked_sub(1).map(|last| idle[last]);
+        (self.cleanup_at, self.cleanup_cursor) = (self.now, Some(0));
     }
 
-    /// Goes on with that for some destinations.
-    pub(super) fn forget_from(&mut self, next: DestId) {
-        let ids: Vec<DestId> = self.dests.range(next..).map(|d| *d.0).take(FORGET_AT_ONCE).collect();
-        ids.iter().for_each(|&id| self.forget(id));
-        self.forgetting = ids.get(FORGET_AT_ONCE - 1).and_then(|last| last.checked_add(1));
-        let None = self.forgetting else { return };
-        let (now, cold, dests) = (self.now, self.cfg.slow_start_window, &self.dests);
-        let places = |id: DestId| dests.get(&id).map_or(&[][..], |dest| &dest.places);
-        self.endpoints.retain(|id, e| places(e.dest).binary_search(id).is_ok() || e.is_needed(now, cold));
-        self.routes.retain(|&(dest, id), r| {
-            let seen = r.back_at.max(r.next_trial).max(r.wait_until);
-            let named = places(dest).binary_search(&id).is_ok()
-                || (id == EndpointId::MAX && !places(dest).is_empty());
-            named || r.in_flight > 0 || now < seen.saturating_add(KEEP.max(cold))
+    /// Continues the cleanup with the next destinations from `next` on, and finishes it after the last.
+    pub(super) fn continue_cleanup(&mut self, next: DestId) {
+        let ids: Vec<DestId> = self.dests.range(next..).map(|d| *d.0).take(CLEANUP_BATCH).collect();
+        ids.iter().for_each(|&id| self.clean_up(id));
+        self.cleanup_cursor = ids.get(CLEANUP_BATCH - 1).and_then(|last| last.checked_add(1));
+        let None = self.cleanup_cursor else { return };
+        let (now, slow_start_window, dests) = (self.now, self.settings.slow_start_window, &self.dests);
+        let endpoints_of = |id: DestId| dests.get(&id).map_or(&[][..], |dest| &dest.endpoints);
+        self.endpoints.retain(|id, endpoint| {
+            endpoints_of(endpoint.dest).binary_search(id).is_ok()
+                || endpoint.is_needed(now, slow_start_window)
         });
-        self.keys.retain(|_, turn| !turn.queue.is_empty() || turn.rest_until > now);
-        self.remembered = self.dests.len();
+        self.routes.retain(|&(dest, id), route| {
+            let last_event_at = route.recovered_at.max(route.next_trial_at).max(route.retry_after_until);
+            let is_named = endpoints_of(dest).binary_search(&id).is_ok()
+                || (id == EndpointId::MAX && !endpoints_of(dest).is_empty());
+            is_named
+                || route.in_flight > 0
+                || now < last_event_at.saturating_add(KEEP_DELISTED.max(slow_start_window))
+        });
+        self.key_queues.retain(|_, key_queue| !key_queue.queue.is_empty() || key_queue.quiet_until > now);
+        self.dests_after_cleanup = self.dests.len();
     }
 
-    fn forget(&mut self, id: DestId) {
-        let (now, cold, active) = (self.now, self.cfg.slow_start_window, self.active.contains(&id));
+    /// Drops what is not needed of one destination, and the destination itself if no endpoint is left.
+    fn clean_up(&mut self, id: DestId) {
+        let (now, slow_start_window, active) =
+            (self.now, self.settings.slow_start_window, self.active.contains(&id));
         let restrains = self.restrains(id, &self.dests[&id]);
         let dest = self.dests.get_mut(&id).expect("looked up above");
-        let unused = !active && !restrains && Some((dest.used_at, id)) <= self.unused_to;
+        let unused = !active && !restrains && Some((dest.used_at, id)) <= self.last_unused;
         dest.restrains = restrains;
         let endpoints = &self.endpoints;
-        dest.places.retain(|e| {
+        dest.endpoints.retain(|e| {
             let known = endpoints.get(e).filter(|known| known.dest == id);
-            known.is_some_and(|known| (known.listed && !unused) || known.is_needed(now, cold))
+            known.is_some_and(|known| (known.listed && !unused) || known.is_needed(now, slow_start_window))
         });
-        dest.cells.drop_under(FADED, now);
-        dest.arrivals.drop_under(FADED, now);
+        dest.latencies.drop_below(NEGLIGIBLE_WEIGHT, now);
+        dest.arrivals.drop_below(NEGLIGIBLE_WEIGHT, now);
         if unused {
-            let routes = self.routes.extract_if((id, 0)..=(id, EndpointId::MAX), |_, r| r.in_flight == 0);
+            let routes =
+                self.routes.extract_if((id, 0)..=(id, EndpointId::MAX), |_, route| route.in_flight == 0);
             routes.for_each(drop);
         }
-        if dest.places.is_empty() && !active {
-            // What was held may have ended since it became due: nothing is left to look at there.
-            self.agenda.remove(&(dest.look_at, id));
+        if dest.endpoints.is_empty() && !active {
+            // Its held messages may have ended since it became due, so it may still be on the agenda.
+            self.agenda.remove(&(dest.due_at, id));
             self.dests.remove(&id);
         }
     }
 
-    /// Whether what is known of a destination still holds calls to it back. An ordering key's rest is kept by
-    /// the key, and a repeat window with its message.
+    /// Returns whether the state of a destination still holds calls to it back. The quiet period of an
+    /// ordering key is kept with the key, and a deduplication window with its message.
     fn restrains(&self, id: DestId, dest: &Dest) -> bool {
-        let (now, cold) = (self.now, self.cfg.slow_start_window);
-        let waits = |r: &Route| r.wait_until.max(r.not_before) > now;
-        let route = |r: &Route| r.doubt || waits(r) || (r.cold && now - r.back_at <= cold);
-        let needed = |e: &EndpointId| self.endpoints.get(e).is_some_and(|e| e.is_needed(now, cold));
+        let (now, slow_start_window) = (self.now, self.settings.slow_start_window);
+        let must_wait = |route: &Route| route.retry_after_until.max(route.backoff_until) > now;
+        let route_restrains = |route: &Route| {
+            route.half_open
+                || must_wait(route)
+                || (route.slow_start && now - route.recovered_at <= slow_start_window)
+        };
+        let needed = |endpoint: &EndpointId| {
+            self.endpoints.get(endpoint).is_some_and(|endpoint| endpoint.is_needed(now, slow_start_window))
+        };
         let mut routes = self.routes.range((id, 0)..=(id, EndpointId::MAX));
-        routes.any(|(_, r)| route(r)) || dest.places.iter().any(|e| self.maint.contains(e) || needed(e))
+        routes.any(|(_, route)| route_restrains(route))
+            || dest
+                .endpoints
+                .iter()
+                .any(|endpoint| self.out_of_service.contains(endpoint) || needed(endpoint))
     }
 
-    /// Entries that the caller has found for a message.
-    pub(super) fn look_up(&mut self, entries: &[Entry]) {
-        self.looks_up = true;
-        self.take_in(entries, self.first_list_at.unwrap_or(self.now));
+    /// Applies entries that the caller has looked up for a message.
+    pub(super) fn apply_lookup(&mut self, entries: &[Entry]) {
+        self.on_demand = true;
+        self.apply_entries(entries, self.first_list_at.unwrap_or(self.now));
     }
 
-    /// Follows the list. Draining and gone endpoints are unusable before anything of the batch is sent.
-    pub(super) fn list(&mut self, whole: bool, entries: &[Entry]) {
+    /// Applies a list. Draining and gone endpoints are unusable before anything is sent in the same batch.
+    pub(super) fn apply_list(&mut self, whole: bool, entries: &[Entry]) {
         self.first_list_at.get_or_insert(self.now);
         if whole {
-            self.endpoints.values_mut().for_each(|e| (e.listed, e.usable) = (false, false));
+            self.endpoints
+                .values_mut()
+                .for_each(|endpoint| (endpoint.listed, endpoint.usable) = (false, false));
         }
-        self.take_in(entries, self.now);
+        self.apply_entries(entries, self.now);
     }
 
-    /// Takes in what was listed at a time.
-    fn take_in(&mut self, entries: &[Entry], since: Ns) {
+    /// Applies entries that were listed at `since`.
+    fn apply_entries(&mut self, entries: &[Entry], since: Ns) {
         for entry in entries {
             let (dest, kind, zone) = (entry.dest, entry.kind, entry.zone);
-            let lot = lot(self.seed, entry.endpoint);
-            let known = self.endpoints.entry(entry.endpoint).or_insert_with(|| Endpoint { lot, ..unused() });
+            let tie_break = tie_break(self.seed, entry.endpoint);
+            let known = self
+                .endpoints
+                .entry(entry.endpoint)
+                .or_insert_with(|| Endpoint { tie_break, ..new_endpoint() });
             (known.dest, known.kind, known.zone) = (dest, kind, zone);
             known.listed = entry.condition == Condition::Ready;
-            known.usable = known.listed && !self.maint.contains(&entry.endpoint);
+            known.usable = known.listed && !self.out_of_service.contains(&entry.endpoint);
             let id = self.route_of(entry.endpoint);
             let route = self.routes.entry(id).or_insert_with(|| Route {
-                share: 1.0 / self.cfg.sender_count.clamp(1, FEW) as f64,
+                share: 1.0 / self.settings.sender_count.clamp(1, MAX_ACTIVE_SENDERS) as f64,
                 share_at: since,
                 tokens: 1.0,
-                filled_at: since,
-                sent: Use::since(since),
-                usual: Use::since(since),
+                refilled_at: since,
+                sent_rate: RateMeter::starting_at(since),
+                usual_rate: RateMeter::starting_at(since),
                 ..Route::default()
             });
-            // What is gone tells nothing of its neighbours' limit.
+            // The entry of an endpoint that is gone says nothing about the limit of the others.
             if entry.condition != Condition::Gone {
-                let trust = if self.cfg.rough_rate_hints { ROUGH } else { 1.0 };
-                let told = self.cfg.rate_hints && entry.rate_hint.is_finite();
-                route.hint = if told { entry.rate_hint.max(0.0) * trust } else { 0.0 };
+                let trust = if self.settings.rough_rate_hints { ROUGH_LIMIT_SHARE } else { 1.0 };
+                let has_limit = self.settings.rate_hints && entry.rate_hint.is_finite();
+                route.listed_limit = if has_limit { entry.rate_hint.max(0.0) * trust } else { 0.0 };
             }
-            let dest = self.dest(entry.dest);
-            if let Err(at) = dest.places.binary_search(&entry.endpoint) {
-                dest.places.insert(at, entry.endpoint);
+            let dest = self.dest_or_new(entry.dest);
+            if let Err(index) = dest.endpoints.binary_search(&entry.endpoint) {
+                dest.endpoints.insert(index, entry.endpoint);
             }
-            self.due(entry.dest, LONG_AGO);
+            self.set_due(entry.dest, LONG_AGO);
         }
     }
 
-    /// Takes an endpoint out or puts it back. Only one that was out has been restarted.
-    pub(super) fn maint(&mut self, endpoint: EndpointId, out: bool, at: Ns) {
-        let changed = if out { self.maint.insert(endpoint) } else { self.maint.remove(&endpoint) };
-        let known = self.endpoints.entry(endpoint).or_insert_with(unused);
+    /// Takes an endpoint out of use, or puts it back. Only an endpoint that was out has been restarted.
+    pub(super) fn set_maintenance(&mut self, endpoint: EndpointId, out: bool, at: Ns) {
+        let changed =
+            if out { self.out_of_service.insert(endpoint) } else { self.out_of_service.remove(&endpoint) };
+        let known = self.endpoints.entry(endpoint).or_insert_with(new_endpoint);
         known.usable = known.listed && !out;
         if changed && !out {
-            (known.back_at, known.tokens, known.filled_at) = (Some(at.min(self.now)), 1.0, self.now);
+            (known.put_back_at, known.tokens, known.refilled_at) = (Some(at.min(self.now)), 1.0, self.now);
         }
         let dest = known.dest;
-        self.due(dest, LONG_AGO);
+        self.set_due(dest, LONG_AGO);
     }
 
-    pub(super) fn dest(&mut self, id: DestId) -> &mut Dest {
-        let (cap, used_at) = (top(&self.cfg), self.now);
+    /// Returns the state of a destination, which is created if there is none.
+    pub(super) fn dest_or_new(&mut self, id: DestId) -> &mut Dest {
+        let (cap, used_at) = (max_cap(&self.settings), self.now);
         self.dests.entry(id).or_insert_with(|| Dest { cap, used_at, ..Dest::default() })
     }
 
+    /// Returns the route of an endpoint.
     pub(super) fn route_of(&self, endpoint: EndpointId) -> RouteId {
-        let e = &self.endpoints[&endpoint];
-        let separate = self.cfg.kinds.get(e.kind).is_some_and(|k| k.separate_routes);
-        (e.dest, if separate { endpoint } else { EndpointId::MAX })
+        let state = &self.endpoints[&endpoint];
+        let separate = self.settings.kinds.get(state.kind).is_some_and(|kind| kind.separate_routes);
+        (state.dest, if separate { endpoint } else { EndpointId::MAX })
     }
 }
 
 impl Endpoint {
-    /// Whether a call is out there, or it comes back.
-    fn is_needed(&self, now: Ns, cold: Ns) -> bool {
-        self.in_flight > 0 || self.back_at.is_some_and(|at| now - at <= cold)
+    /// Returns whether a call to it is in flight, or it may still be in slow start after being put back.
+    fn is_needed(&self, now: Ns, slow_start_window: Ns) -> bool {
+        self.in_flight > 0 || self.put_back_at.is_some_and(|at| now - at <= slow_start_window)
     }
 }
 
-/// An endpoint before anything is known of it.
-fn unused() -> Endpoint {
-    Endpoint { used_at: LONG_AGO, served_at: LONG_AGO, gap: Ns::MAX, ..Endpoint::default() }
+/// Returns the state of an endpoint that was never used.
+fn new_endpoint() -> Endpoint {
+    Endpoint { used_at: LONG_AGO, served_at: LONG_AGO, served_interval: Ns::MAX, ..Endpoint::default() }
 }
 
-/// A sender's order among equal endpoints, the same whenever an endpoint's state is made. A fleet whose
-/// senders have a call out now and then would else send nearly all to the endpoint that its list names first.
-fn lot(seed: u64, endpoint: EndpointId) -> u32 {
+/// Returns the rank of an endpoint among otherwise equal ones for the sender with this seed. It does not
+/// depend on when the endpoint's state is created. Without it, the senders of a fleet that rarely have more
+/// than one call in flight would send nearly all of them to the endpoint that the list names first.
+fn tie_break(seed: u64, endpoint: EndpointId) -> u32 {
     // The finalizer of SplitMix64.
     let mut z = seed.wrapping_add((u64::from(endpoint) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,148 +1,185 @@
-//! Every decision of a sender. The interface (settings, events, actions) is `src/api.rs`.
+//! Every decision of a sender, without any input or output. Its interface (settings, events, actions) is
+//! [`crate::api`].
 //!
-//! Ordinary path, after the QoSmax paper: per destination a cap on calls in flight, chosen every `PERIOD`
-//! as the level with the greatest level x share of classes whose mean + deviation is under their aim. Below
-//! the cap a message goes, else it is held; what was held too long is refused once `ROOM` is used up.
-//! Around it: a pace for rate limits, one state of doubt per route for outages, the guards of the six rules.
+//! The main rule follows the QoSmax paper. Each destination has a cap on its calls in flight. Every
+//! `CONTROL_PERIOD` it is chosen again as the concurrency that maximises concurrency x share of the classes whose
+//! mean latency + deviation meets their latency target. A message is sent while its destination is below the cap
+//! and is held otherwise; messages that were held too long are refused once `SHED_THRESHOLD` is reached.
+//!
+//! Around this rule there are token buckets for rate limits, a circuit breaker and a slow start per route for
+//! outages, and guards that keep the effect, order and deadline of each message.
 
 mod caps;
 mod listed;
 
 use crate::api::*;
 use crate::state::*;
-use caps::{choose_cap, patience, top};
+use caps::{choose_cap, max_cap, overdue_after};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem::take;
 
-/// How often caps are chosen, held messages swept and overdue calls noticed (the paper's control rate).
-const PERIOD: Ns = 100 * MS;
-/// The paper's admission wait: this or 10% of the expected run time, whichever is longer.
-const ADMISSION: Ns = 100 * MS;
-/// Share of the room that may be held before the admission wait counts.
-const ROOM: f64 = 0.9;
-/// Half-life of what is measured, and the weight under which a cell counts as unmeasured again.
-pub(crate) const HALF_LIFE: f64 = 3e9;
-const MEASURED: f64 = 0.15;
-/// Weight under which it is dropped: whatever is measured next outweighs it by far.
-const FADED: f64 = 1e-6;
-/// Share of the slots that calls to all routes in doubt may hold together.
-const DOUBT_SLOTS: f64 = 0.25;
-/// Failures without a success between, or share of failures (aged), that put a route in doubt.
-const DOUBT_RUN: u32 = 3;
-const DOUBT_SHARE: f64 = 0.6;
-/// Calls in a row that failed, or that a limit nobody tells refused, after which the route is cold: one
-/// sender of many sees but a few calls of an outage.
-const ILL: u32 = 2;
-/// Refusals without a success between that read as shut even where the limit might explain them.
-const SHUT_RUN: u32 = 4;
-/// A told wait of this length is no limit's: the route is shut.
-const SHUT_WAIT: Ns = 1_500 * MS;
-/// Part of the fall-over budget that is used, and part of a rough figure that is trusted.
-const MARGIN: f64 = 0.7;
-const ROUGH: f64 = 0.6;
-/// A call is overdue after mean + PATIENCE deviations, and timed out at twice that where it may go again.
-const PATIENCE: f64 = 3.0;
-const LEAST_PATIENCE: Ns = 400 * MS;
+/// Interval of the periodic work: caps are chosen, held messages considered and overdue calls found (the control
+/// rate of the paper).
+const CONTROL_PERIOD: Ns = 100 * MS;
+/// The admission wait of the paper: this or 10% of the expected latency, whichever is longer.
+const MIN_ADMISSION_WAIT: Ns = 100 * MS;
+/// Share of `Settings::max_open` above which messages past their admission wait are refused.
+const SHED_THRESHOLD: f64 = 0.9;
+/// Half-life of the latency and arrival statistics, in nanoseconds.
+pub(crate) const HALF_LIFE_NS: f64 = 3e9;
+/// Weighted count below which a statistic counts as not measured.
+const MIN_WEIGHT: f64 = 0.15;
+/// Weighted count below which a statistic is dropped: the next value would outweigh it by far.
+const NEGLIGIBLE_WEIGHT: f64 = 1e-6;
+/// Share of the slots that trial calls to all half-open routes may hold together.
+const HALF_OPEN_SLOT_SHARE: f64 = 0.25;
+/// Failures in a row that make a route half-open.
+const HALF_OPEN_FAILURES: u32 = 3;
+/// Weighted share of failed calls that makes a route half-open.
+const HALF_OPEN_FAILURE_SHARE: f64 = 0.6;
+/// Factor by which each call lowers the weighted share of failed calls.
+const FAILURE_SHARE_DECAY: f64 = 0.7;
+/// What a failed call adds to that share.
+const FAILURE_WEIGHT: f64 = 0.3;
+/// Calls in a row that failed, or were refused by a limit that is not reported, after which a route is put in slow
+/// start. It is low because each of many senders sees only a few calls of an outage.
+const SLOW_START_FAILURES: u32 = 2;
+/// Refusals in a row that count as an outage even where a rate limit might explain them.
+const OUTAGE_REFUSALS: u32 = 4;
+/// With a larger unused share of the allowance than this, a refusal is a sign of an outage.
+const OUTAGE_ALLOWANCE: f64 = 0.4;
+/// A rate limit does not ask for a wait of this length: the route has an outage.
+const OUTAGE_RETRY_AFTER: Ns = 1_500 * MS;
+/// Share of the calls that would overload a destination in slow start which the senders use.
+const OVERLOAD_BUDGET_SHARE: f64 = 0.7;
+/// Share of an approximate listed limit that is used.
+const ROUGH_LIMIT_SHARE: f64 = 0.6;
+/// A call is overdue after its destination's mean latency plus this many deviations. It times out after twice that
+/// time if its messages may be sent again.
+const OVERDUE_DEVIATIONS: f64 = 3.0;
+/// No call is overdue earlier.
+const MIN_OVERDUE: Ns = 400 * MS;
 
-/// What is gone from the list is remembered for so long after its last failure.
-const KEEP: Ns = 60 * SECOND;
+/// How long the state of a route that is not listed any more is kept after its last failure.
+const KEEP_DELISTED: Ns = 60 * SECOND;
 
-/// A destination that is not used for so long is forgotten, and so are the longest unused past so many. It
-/// begins anew then: its latencies have faded, and its share of a limit has mostly grown back.
-const IDLE_FOR: Ns = 60 * SECOND;
-const MOST_IDLE: usize = 2_048;
-/// Destinations that are looked at for that in one batch of events.
-const FORGET_AT_ONCE: usize = 512;
+/// Destinations without use for this time are dropped. They start anew when used again: by then their latency
+/// statistics have decayed, and their share of a limit has mostly recovered.
+const DESTINATION_IDLE_TIMEOUT: Ns = 60 * SECOND;
+/// Of more idle destinations than this, those unused for the longest are dropped earlier.
+const MAX_IDLE_DESTINATIONS: usize = 2_048;
+/// Interval of the cleanup of unused state.
+const CLEANUP_INTERVAL: Ns = 10 * SECOND;
+/// Number of destinations that the cleanup considers in one batch of events.
+const CLEANUP_BATCH: usize = 512;
 
-/// For so long after a call got no connection its kind of endpoint is taken to be short of them.
-const SCARCE: Ns = 60 * SECOND;
+/// How long other endpoints are preferred to one after a failed or overdue call to it.
+const AVOID_ENDPOINT: Ns = SECOND;
+/// How long after a call found no connection the connections of its kind of endpoint count as scarce.
+const CONNECTION_SCARCITY: Ns = 60 * SECOND;
 
-/// Where answers hold no reports each takes the share up by this much: slow enough that at the limit about
-/// one call in twenty is refused, as a refusal takes it down by a fifth.
-const PROBE: f64 = 1.01;
+/// Factor by which each served call without a report raises the share of the limit. Near the limit about one
+/// call in twenty is then refused, as a refusal lowers the share by a fifth.
+const SHARE_GROWTH: f64 = 1.01;
+/// Factor by which a refusal lowers the share.
+const REFUSAL_SHARE_FACTOR: f64 = 0.8;
+/// Above this unused share of the allowance a report raises the share of the sender.
+const AMPLE_ALLOWANCE: f64 = 0.5;
+/// Below this unused share of the allowance a report lowers the share of the sender.
+const SCANT_ALLOWANCE: f64 = 0.2;
+/// Weight of a new report in the exponentially weighted mean of the reported limits.
+const REPORT_WEIGHT: f64 = 0.3;
 
-/// No more senders than these are taken to have work for a destination at once: a share starts as an equal
-/// part among them. An equal part of all would pace a fleet's work to its deadline beside an unused limit.
-const FEW: usize = 4;
+/// At most this many senders are assumed to have work for a destination at the same time: a share starts as an equal
+/// part among them. With an equal part among all, the work of one sender of a large fleet would be paced to its
+/// deadline although the limit is mostly unused.
+const MAX_ACTIVE_SENDERS: usize = 4;
 
-/// Room left takes the share up by this power of the number of senders: as many answers lead from an equal
-/// share to all, however many there are.
-const RISE: f64 = 0.045;
+/// A report of unused allowance raises the share by the number of senders to this power, so that the number of
+/// responses from an equal share to the whole limit does not depend on the number of senders.
+const SHARE_GROWTH_EXPONENT: f64 = 0.045;
 
-/// Over so long the calls to a route are counted for its usual rate.
-pub(crate) const USE_SPAN: f64 = 5e9;
+/// Time constant of the rates of calls to a route, in nanoseconds.
+pub(crate) const RATE_WINDOW_NS: f64 = 5e9;
 
-/// A learned pace takes as many of its own turns to double.
-const REGROW: f64 = 4.0;
-/// A pace of more than this many times what is sent is none.
-const UNUSED: f64 = 4.0;
-/// So many times its usual rate a destination can do that comes back; more if it served between failures.
-const SPARE: f64 = 1.75;
-const SPARE_PARTIAL: f64 = 4.0;
+/// The share of an estimated limit doubles over the time of at least this many calls at its rate.
+const DOUBLING_CALLS: f64 = 4.0;
+/// An allowed rate of more than this multiple of the rate in use is no limit: the limit is estimated anew.
+const UNUSED_LIMIT_FACTOR: f64 = 4.0;
+/// Multiple of its usual rate that a destination is assumed to serve after an outage.
+const RECOVERY_HEADROOM: f64 = 1.75;
+/// The same after an outage during which calls were served.
+const PARTIAL_RECOVERY_HEADROOM: f64 = 4.0;
 
-/// All senders together call a second at least so often, to notice that a destination is back.
-const LEAST: f64 = 0.15;
+/// Lower bound of the calls per second that all senders make together, to notice the recovery of a destination.
+const MIN_FLEET_RATE: f64 = 0.15;
 
 impl Route {
-    /// The limit told by reports or the list, in calls a second of all senders; 0 where there is none.
-    fn told(&self) -> f64 {
-        self.limit.unwrap_or(self.hint)
+    /// Returns the limit from reports or the list, in calls per second over all senders; 0 if there is none.
+    fn known_limit(&self) -> f64 {
+        self.reported_limit.unwrap_or(self.listed_limit)
     }
-    /// What the share is of.
-    fn whole(&self) -> f64 {
-        Some(self.told()).filter(|&told| told > 0.0).unwrap_or(self.learned)
+    /// Returns the limit that `share` is a share of: the known one, else the estimated one.
+    fn effective_limit(&self) -> f64 {
+        Some(self.known_limit()).filter(|&limit| limit > 0.0).unwrap_or(self.estimated_limit)
     }
-    /// The share that may be used: what was told holds for a `span` and then doubles with each, as others'
-    /// calls are not seen. Of a limit that nobody told it has no bound.
-    fn share_now(&self, now: Ns, span: Ns) -> f64 {
-        // Of a limit that only refusals tell nothing is known until the next call.
-        let mut over = span as f64;
-        if self.told() <= 0.0 && self.learned > 0.0 {
-            over = over.max(REGROW * 1e9 / (self.learned * self.share));
+    /// Returns the share that may be used. The last one holds for `validity` and then doubles with each
+    /// further `validity`, as the calls of other senders are not seen. The share of an estimated limit is not
+    /// bounded.
+    fn current_share(&self, now: Ns, validity: Ns) -> f64 {
+        // Only refusals show an estimated limit, so nothing is known of it until the next call.
+        let mut doubling_time = validity as f64;
+        if self.known_limit() <= 0.0 && self.estimated_limit > 0.0 {
+            doubling_time = doubling_time.max(DOUBLING_CALLS * 1e9 / (self.estimated_limit * self.share));
         }
-        let stale = (now - self.share_at - span).max(0) as f64 / over;
-        (self.share * stale.exp2()).min(self.most())
+        let doublings = (now - self.share_at - validity).max(0) as f64 / doubling_time;
+        (self.share * doublings.exp2()).min(self.max_share())
     }
-    fn most(&self) -> f64 {
-        if self.told() > 0.0 {
+    /// Returns the upper bound of the share.
+    fn max_share(&self) -> f64 {
+        if self.known_limit() > 0.0 {
             1.0
         } else {
             f64::INFINITY
         }
     }
-    /// Calls a second that this sender may send; infinite where no limit was seen.
-    fn pace(&self, now: Ns, span: Ns) -> f64 {
-        let pace = self.whole() * self.share_now(now, span);
-        if pace > 0.0 {
-            pace
+    /// Returns the calls per second that this sender may send; infinite if there is no sign of a limit.
+    fn rate(&self, now: Ns, validity: Ns) -> f64 {
+        let rate = self.effective_limit() * self.current_share(now, validity);
+        if rate > 0.0 {
+            rate
         } else {
             f64::INFINITY
         }
     }
-    /// Where nobody tells a limit, it is first taken to be what this sender had in use, and again where the
-    /// pace has grown far past that.
-    fn learn(&mut self, now: Ns, span: Ns, used: f64) -> bool {
-        let new = self.told() <= 0.0 && self.pace(now, span) > UNUSED * used;
+    /// If no limit is known, sets the estimated limit to `used`, the rate in use, unless there is an estimate
+    /// that the allowed rate has not far outgrown. Returns whether it did.
+    fn estimate_limit(&mut self, now: Ns, validity: Ns, used: f64) -> bool {
+        let new = self.known_limit() <= 0.0 && self.rate(now, validity) > UNUSED_LIMIT_FACTOR * used;
         if new {
-            (self.learned, self.share, self.share_before, self.share_at) = (used, 1.0, 1.0, now);
+            (self.estimated_limit, self.share, self.share_before, self.share_at) = (used, 1.0, 1.0, now);
         }
         new
     }
-    /// A call sent at `sent` found no room. Those that were out when another found none tell nothing new.
-    fn step_down(&mut self, now: Ns, sent: Ns, again: bool, n: f64, span: Ns) -> bool {
-        let fresh = sent >= self.refused_at;
-        let learned = self.learn(now, span, self.sent.rate().max(self.usual.rate()));
-        let mut share = self.share_now(now, span);
-        if self.told() > 0.0 {
-            // From what was in use: an equal share would leave unused what the others don't send. What was
-            // not in use is no guide: did all of a fleet step down from it, the limit would be used up by
-            // refused calls long before they came down to what it takes.
-            share = share.min((per_second(self.served.aged(now)) / self.told()).max(1.0 / n));
-            self.share = (share * 0.8).max(0.5 / n);
+    /// Lowers the share after a call sent at `sent_at` was refused. `again`: the call before it was refused
+    /// as well; `senders`: their number in the fleet. Returns whether the refusal is new information; it is
+    /// not if the call was already in flight at the last refusal.
+    fn reduce_share(&mut self, now: Ns, sent_at: Ns, again: bool, senders: f64, validity: Ns) -> bool {
+        let fresh = sent_at >= self.refused_at;
+        let new_estimate =
+            self.estimate_limit(now, validity, self.sent_rate.rate().max(self.usual_rate.rate()));
+        let mut share = self.current_share(now, validity);
+        if self.known_limit() > 0.0 {
+            // Starts from the share in use: an equal share would leave unused what the other senders do not
+            // send. If all senders of a fleet started from an allowed share that they do not use, refused
+            // calls would use up the limit long before their shares came down to it.
+            share = share
+                .min((steady_rate(self.served_count.weight_at(now)) / self.known_limit()).max(1.0 / senders));
+            self.share = (share * REFUSAL_SHARE_FACTOR).max(0.5 / senders);
         } else {
-            let cut = if learned || !fresh { 1.0 } else { 0.8 };
-            self.share = (share * cut).max(LEAST / n / self.learned);
+            let factor = if new_estimate || !fresh { 1.0 } else { REFUSAL_SHARE_FACTOR };
+            self.share = (share * factor).max(MIN_FLEET_RATE / senders / self.estimated_limit);
         }
         if !again {
             self.share_before = share;
@@ -150,151 +187,200 @@
         if fresh {
             self.refused_at = now;
         }
-        // The pause is no staleness: else all would grow back in it and use up the limit by asking.
-        self.share_at = now + (1e9 / (self.whole() * self.share)).min(30e9) as Ns;
+        // The share does not grow during the pause before the next call. Otherwise all senders would return
+        // to their old shares in that pause and use up the limit by refused calls.
+        self.share_at = now + (1e9 / (self.effective_limit() * self.share)).min(30e9) as Ns;
         fresh
     }
-    /// A failure or refusal that tells of an outage.
-    fn mark_cold(&mut self, now: Ns) {
-        self.partial = self.cold && (self.partial || !self.away);
-        (self.cold, self.away, self.back_at) = (true, true, now);
+    /// Notes a failure or refusal that is a sign of an outage: slow start begins anew.
+    fn enter_slow_start(&mut self, now: Ns) {
+        self.partial_outage = self.slow_start && (self.partial_outage || !self.down);
+        (self.slow_start, self.down, self.recovered_at) = (true, true, now);
     }
-    /// After so many calls in a row that found no room.
-    fn pause(&mut self, now: Ns, run: u32, jitter: f64) {
-        // One turn to two: those who were refused together would else come again together.
+    /// Sets an exponential backoff with jitter after `refusals` calls in a row were refused.
+    fn back_off(&mut self, now: Ns, refusals: u32, jitter: f64) {
+        // The bucket needs the time of one to two calls to fill: senders that were refused together would
+        // otherwise call together again.
         self.tokens = self.tokens.min(0.5 - jitter);
-        let back = (PERIOD << run.saturating_sub(1).min(4)) as f64 * jitter;
-        self.not_before = self.not_before.max(now + back as Ns);
+        let backoff = (CONTROL_PERIOD << refusals.saturating_sub(1).min(4)) as f64 * jitter;
+        self.backoff_until = self.backoff_until.max(now + backoff as Ns);
     }
 }
 
 impl Dest {
-    /// Time from one message served to the next, in nanoseconds.
-    fn turn_every(&self, now: Ns) -> f64 {
-        1e9 / per_second(self.served.aged(now)).max(0.1)
+    /// Returns the mean time between two served messages, in nanoseconds.
+    fn service_interval(&self, now: Ns) -> f64 {
+        1e9 / steady_rate(self.served_count.weight_at(now)).max(0.1)
     }
 }
 
-/// Passes whole from process to process in an upgrade, so that all rules run on.
+/// Decides for one sender which message is sent to which endpoint and when, or is refused.
+///
+/// It is stored whole and handed over to the next process in an upgrade, so that every rule continues to hold.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Sender {
     #[serde(skip)]
-    cfg: Settings,
+    settings: Settings,
     seed: u64,
-    random: u64,
+    /// State of the linear congruential generator of `next_random`.
+    #[serde(rename = "random")]
+    random_state: u64,
     now: Ns,
-    messages: BTreeMap<MsgId, Held>,
-    open: usize,
+    messages: BTreeMap<MsgId, OpenMessage>,
+    /// Messages that have not ended.
+    #[serde(rename = "open")]
+    open_count: usize,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
-    /// Endpoints that operators have taken out; also such as no list names.
-    maint: BTreeSet<EndpointId>,
+    /// Endpoints that operators have taken out, whether a list names them or not.
+    #[serde(rename = "maint")]
+    out_of_service: BTreeSet<EndpointId>,
     routes: BTreeMap<RouteId, Route>,
     pub(crate) dests: BTreeMap<DestId, Dest>,
+    /// Calls in flight, by number.
     calls: BTreeMap<u64, Call>,
     next_call: u64,
-    keys: BTreeMap<u64, KeyTurn>,
-    /// Destinations with calls out or work held; no other costs anything.
+    #[serde(rename = "keys")]
+    key_queues: BTreeMap<u64, KeyQueue>,
+    /// Destinations with calls in flight or held messages: the periodic work is done for these only.
     pub(crate) active: BTreeSet<DestId>,
-    /// Those with work held, by when a call may become possible: an event makes its destination due at once.
+    /// Destinations with held messages, by the time at which a call may become possible. An event for a destination
+    /// makes it due at once.
     agenda: BTreeSet<(Ns, DestId)>,
-    trials: usize,
-    /// Endpoints whose calls ended in this batch, and when each kind last took no connection.
-    ended: Vec<EndpointId>,
-    scarce_at: BTreeMap<usize, Ns>,
-    /// What is looked up later begins as if it had been listed then.
+    /// Trial calls in flight to half-open routes.
+    #[serde(rename = "trials")]
+    trials_in_flight: usize,
+    /// Endpoints whose calls ended in this batch of events.
+    #[serde(rename = "ended")]
+    ended_call_endpoints: Vec<EndpointId>,
+    /// When an endpoint of each kind last had no free connection.
+    #[serde(rename = "scarce_at")]
+    connections_scarce_at: BTreeMap<usize, Ns>,
+    /// A destination that is looked up later starts as if it had been listed then.
     first_list_at: Option<Ns>,
-    /// Its caller looks up what messages need, so that what nothing depends on can be forgotten.
-    looks_up: bool,
-    /// Destinations left when that was last done.
-    remembered: usize,
-    /// Where that goes on, and the last used one of those that count as unused.
+    /// The caller looks up the destinations of messages, so the state of unused ones can be dropped.
+    #[serde(rename = "looks_up")]
+    on_demand: bool,
+    /// Number of destinations that the last cleanup left.
+    #[serde(rename = "remembered")]
+    dests_after_cleanup: usize,
+    /// The destination at which the cleanup in progress continues.
     #[serde(skip)]
-    forgetting: Option<DestId>,
+    cleanup_cursor: Option<DestId>,
+    /// The cleanup in progress drops idle destinations that were last used no later than this one.
     #[serde(skip)]
-    unused_to: Option<(Ns, DestId)>,
-    next_end: Ns,
-    forgot_at: Ns,
-    decided_at: Ns,
+    last_unused: Option<(Ns, DestId)>,
+    /// Earliest time at which a held message may have to end.
+    #[serde(rename = "next_end")]
+    next_expiry: Ns,
+    /// Start of the last cleanup.
+    #[serde(rename = "forgot_at")]
+    cleanup_at: Ns,
+    /// Time of the last periodic work.
+    #[serde(rename = "decided_at")]
+    periodic_at: Ns,
+    /// Time of the timer that was requested last and has not fired.
     timer_at: Option<Ns>,
 }
 
 impl Sender {
-    pub fn new(cfg: Settings, seed: u64) -> Sender {
-        Sender { cfg, seed, random: seed, next_end: Ns::MAX, decided_at: LONG_AGO, ..Sender::default() }
+    /// Creates a sender without state. The seed selects its random numbers and its order among equal
+    /// endpoints.
+    pub fn new(settings: Settings, seed: u64) -> Sender {
+        Sender {
+            settings,
+            seed,
+            random_state: seed,
+            next_expiry: Ns::MAX,
+            periodic_at: LONG_AGO,
+            ..Sender::default()
+        }
     }
 
-    /// Goes on with what another process decided under the same settings; the clock must go on too. No timer
-    /// is asked for any more.
-    pub fn after_handover(self, cfg: Settings) -> Sender {
-        // Versions before this one did not keep their seed.
-        let seed = if self.seed == 0 { self.random } else { self.seed };
-        Sender { cfg, seed, timer_at: None, ..self }
+    /// Continues with the state that another process has handed over. The settings must be the same, and the
+    /// clock must not restart. No timer is pending afterwards.
+    pub fn after_handover(self, settings: Settings) -> Sender {
+        // Earlier versions did not store the seed.
+        let seed = if self.seed == 0 { self.random_state } else { self.seed };
+        Sender { settings, seed, timer_at: None, ..self }
     }
 
-    /// What it has learned, without the messages and calls of this process.
-    pub fn without_work<T>(&mut self, keep: impl FnOnce(&Sender) -> T) -> T {
-        let work = (take(&mut self.messages), take(&mut self.calls), take(&mut self.keys));
-        let kept = keep(self);
-        (self.messages, self.calls, self.keys) = work;
-        kept
+    /// Calls `store` with this sender without its messages, calls and ordering keys: what a snapshot of the
+    /// learned state contains.
+    pub fn without_work<T>(&mut self, store: impl FnOnce(&Sender) -> T) -> T {
+        let work = (take(&mut self.messages), take(&mut self.calls), take(&mut self.key_queues));
+        let stored = store(self);
+        (self.messages, self.calls, self.key_queues) = work;
+        stored
     }
 
-    /// Goes on with what a process had learned that was killed since: nothing of its work is out or held,
-    /// its connections are gone, and a told wait ends with a restart. A cold return under way goes on.
-    pub fn after_restart(self, cfg: Settings, seed: u64) -> Sender {
-        let mut new =
-            Sender { cfg, seed, random: seed, timer_at: None, next_end: Ns::MAX, open: 0, trials: 0, ..self };
-        new.endpoints.values_mut().for_each(|e| (e.in_flight, e.warm) = (0, 0));
+    /// Continues with the learned state of a process that was killed. Its calls, held messages and
+    /// connections are gone, and a wait that a response asked for ends with the restart. A slow start in
+    /// progress continues.
+    pub fn after_restart(self, settings: Settings, seed: u64) -> Sender {
+        let mut new = Sender {
+            settings,
+            seed,
+            random_state: seed,
+            timer_at: None,
+            next_expiry: Ns::MAX,
+            open_count: 0,
+            trials_in_flight: 0,
+            ..self
+        };
+        new.endpoints.values_mut().for_each(|e| (e.in_flight, e.open_connections) = (0, 0));
         for route in new.routes.values_mut() {
-            (route.in_flight, route.wait_until) = (0, LONG_AGO);
+            (route.in_flight, route.retry_after_until) = (0, LONG_AGO);
         }
         for dest in new.dests.values_mut() {
             dest.in_flight = 0;
             dest.held.clear();
         }
-        (new.active, new.agenda, new.maint) = Default::default();
-        new.ended.clear();
+        (new.active, new.agenda, new.out_of_service) = Default::default();
+        new.ended_call_endpoints.clear();
         new
     }
 
-    /// Takes all events of one batch, then decides.
+    /// Applies a batch of events, then adds the resulting actions to `out`.
     pub fn handle(&mut self, now: Ns, events: &[Event], out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         for event in events {
             match event {
-                Event::List { whole, entries } => self.list(*whole, entries),
-                Event::LookedUp { entries } => self.look_up(entries),
-                Event::Message(m) => self.take(*m),
-                Event::Maint { endpoint, out, at } => self.maint(*endpoint, *out, *at),
+                Event::List { whole, entries } => self.apply_list(*whole, entries),
+                Event::LookedUp { entries } => self.apply_lookup(entries),
+                Event::Message(message) => self.accept(*message),
+                Event::Maint { endpoint, out, at } => self.set_maintenance(*endpoint, *out, *at),
                 Event::Resumed { message, past } => self.resume(*message, past, out),
-                Event::AttemptEnd(e) => self.attempt_end(e, out),
-                Event::Withdrawn { id } => self.close(*id),
+                Event::AttemptEnd(end) => self.attempt_ended(end, out),
+                Event::Withdrawn { id } => self.close_message(*id),
                 Event::Probed { .. } => {}
-                // The caller may round a time down: one that is due within the tick has come.
-                Event::Timer => self.timer_at = self.timer_at.filter(|&at| at > self.now + self.cfg.tick),
+                // The caller may round the time down: a timer that is due within the tick has fired.
+                Event::Timer => {
+                    self.timer_at = self.timer_at.filter(|&at| at > self.now + self.settings.tick)
+                }
             }
         }
-        let periodic = self.now - self.decided_at >= PERIOD;
+        let periodic = self.now - self.periodic_at >= CONTROL_PERIOD;
         if periodic {
-            self.decided_at = self.now;
-            self.sweep();
+            self.periodic_at = self.now;
+            self.run_periodic();
         }
-        if let Some(next) = self.forgetting.take() {
-            self.forget_from(next);
+        if let Some(next) = self.cleanup_cursor.take() {
+            self.continue_cleanup(next);
         }
-        if periodic || self.next_end <= self.now {
-            self.end_hopeless(out);
+        if periodic || self.next_expiry <= self.now {
+            self.expire_held(out);
         }
         self.dispatch(periodic, out);
-        if periodic || self.open >= self.cfg.max_open {
-            self.make_room(out);
+        if periodic || self.open_count >= self.settings.max_open {
+            self.shed_load(out);
         }
-        self.close_idle(out);
+        self.close_idle_connections(out);
         if !self.messages.is_empty() {
-            let due = self.agenda.first().filter(|_| self.calls.len() < self.cfg.slots);
-            let wake = due.map_or(Ns::MAX, |d| d.0).min(self.next_end).min(self.decided_at + PERIOD);
-            let wake = wake.max(self.now + self.cfg.tick.max(1));
+            let due = self.agenda.first().filter(|_| self.calls.len() < self.settings.slots);
+            let wake =
+                due.map_or(Ns::MAX, |d| d.0).min(self.next_expiry).min(self.periodic_at + CONTROL_PERIOD);
+            let wake = wake.max(self.now + self.settings.tick.max(1));
             if self.timer_at.is_none_or(|at| at > wake) {
                 self.timer_at = Some(wake);
                 out.push(Action::Timer { at: wake });
@@ -302,443 +388,516 @@
         }
     }
 
-    fn random(&mut self) -> f64 {
-        self.random = self.random.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(0x1405_7b7e_f767_814f);
-        (self.random >> 11) as f64 / (1u64 << 53) as f64
+    /// Returns a pseudo-random number in the range from 0 to 1, without 1.
+    fn next_random(&mut self) -> f64 {
+        self.random_state =
+            self.random_state.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(0x1405_7b7e_f767_814f);
+        (self.random_state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Where its kind was short of connections, closes idle ones that are seldom used, as others may need
-    /// their place: all senders together keep about as many as three would. Costs handshakes.
-    fn close_idle(&mut self, out: &mut Vec<Action>) {
-        let mut ended = std::mem::take(&mut self.ended);
+    /// Closes idle connections that are seldom used to endpoints whose kind was short of connections, as
+    /// other senders may need them: all senders together keep about as many as three would. This costs
+    /// handshakes.
+    fn close_idle_connections(&mut self, out: &mut Vec<Action>) {
+        let mut ended = std::mem::take(&mut self.ended_call_endpoints);
         ended.sort_unstable();
         ended.dedup();
-        let brief = 3 * self.cfg.idle_timeout / self.cfg.sender_count.max(3) as Ns;
+        let min_interval = 3 * self.settings.idle_timeout / self.settings.sender_count.max(3) as Ns;
         for id in ended {
-            let Some(place) = self.endpoints.get_mut(&id) else { continue };
-            // One each of a large fleet may be more than an endpoint takes, which turns calls away then.
-            let scarce = self.cfg.sender_count > FEW
-                || self.scarce_at.get(&place.kind).is_some_and(|&at| self.now - at < SCARCE);
-            if scarce && place.gap >= brief {
-                place.warm = place.in_flight.div_ceil(self.cfg.streams_per_connection);
+            let Some(endpoint) = self.endpoints.get_mut(&id) else { continue };
+            // One connection from each sender of a large fleet may be more than an endpoint accepts; it then
+            // refuses calls.
+            let scarce = self.settings.sender_count > MAX_ACTIVE_SENDERS
+                || self
+                    .connections_scarce_at
+                    .get(&endpoint.kind)
+                    .is_some_and(|&at| self.now - at < CONNECTION_SCARCITY);
+            if scarce && endpoint.served_interval >= min_interval {
+                endpoint.open_connections = endpoint.in_flight.div_ceil(self.settings.streams_per_connection);
                 out.push(Action::Close { endpoint: id });
             }
         }
     }
 
-    /// The periodic part: overdue calls, caps, and all held work is due for a look.
-    fn sweep(&mut self) {
-        self.notice_overdue();
+    /// Does the periodic work: finds overdue calls, chooses caps and makes all held work due.
+    fn run_periodic(&mut self) {
+        self.mark_overdue();
         let now = self.now;
         let dests = &mut self.dests;
         self.active.retain(|id| {
             let Some(dest) = dests.get_mut(id) else { return false };
-            choose_cap(&self.cfg, dest, now);
+            choose_cap(&self.settings, dest, now);
             dest.used_at = now;
             dest.in_flight > 0 || !dest.held.is_empty()
         });
         for id in self.active.clone() {
-            self.due(id, LONG_AGO);
+            self.set_due(id, LONG_AGO);
         }
-        let many = self.dests.len() > self.remembered + MOST_IDLE;
-        if self.forgetting.is_none() && (many || now - self.forgot_at >= 10 * SECOND) {
-            self.begin_to_forget();
+        let many = self.dests.len() > self.dests_after_cleanup + MAX_IDLE_DESTINATIONS;
+        if self.cleanup_cursor.is_none() && (many || now - self.cleanup_at >= CLEANUP_INTERVAL) {
+            self.start_cleanup();
         }
     }
 
-    /// Sets when a destination is looked at next; it leaves the agenda while nothing is held for it.
-    fn due(&mut self, id: DestId, at: Ns) {
+    /// Sets when a destination is considered next. It is not on the agenda while nothing is held for it.
+    fn set_due(&mut self, id: DestId, at: Ns) {
         let Some(dest) = self.dests.get_mut(&id) else { return };
-        self.agenda.remove(&(dest.look_at, id));
-        dest.look_at = at;
+        self.agenda.remove(&(dest.due_at, id));
+        dest.due_at = at;
         if !dest.held.is_empty() && at < Ns::MAX {
             self.agenda.insert((at, id));
         }
     }
 
-    /// Holds a message until its turn.
+    /// Holds a message until it can be sent.
     fn hold(&mut self, id: MsgId) {
-        let held = &self.messages[&id];
-        let (dest_id, end) = (held.message.dest, self.last_call(held));
-        self.next_end = self.next_end.min(end);
+        let open_message = &self.messages[&id];
+        let (dest_id, expiry) = (open_message.message.dest, self.latest_send(open_message));
+        self.next_expiry = self.next_expiry.min(expiry);
         let now = self.now;
         let idle = self.active.insert(dest_id);
         let dest = self.dests.get_mut(&dest_id).expect("a held message's destination is known");
         if idle {
-            choose_cap(&self.cfg, dest, now);
+            choose_cap(&self.settings, dest, now);
         }
-        let at = dest.held.partition_point(|&h| h < id);
-        dest.held.insert(at, id);
-        self.due(dest_id, LONG_AGO);
+        let index = dest.held.partition_point(|&h| h < id);
+        dest.held.insert(index, id);
+        self.set_due(dest_id, LONG_AGO);
     }
 
-    fn take(&mut self, message: Message) {
-        if self.messages.contains_key(&message.id) || message.class >= self.cfg.classes.len() {
+    /// Opens a new message. One that is open already, or whose class is unknown, is ignored.
+    fn accept(&mut self, message: Message) {
+        if self.messages.contains_key(&message.id) || message.class >= self.settings.classes.len() {
             return;
         }
         let now = self.now;
-        let class = &self.cfg.classes[message.class];
-        let left = message.time_left.clamp(0, class.deadline);
-        let (born, end) = (now - (class.deadline - left), now + left);
-        let held = Held { message, arrived: now, born, end, attempts: Vec::new(), over: false };
+        let class = &self.settings.classes[message.class];
+        let time_left = message.time_left.clamp(0, class.deadline);
+        let (first_handed_in_at, deadline_at) = (now - (class.deadline - time_left), now + time_left);
+        let open_message = OpenMessage {
+            message,
+            accepted_at: now,
+            first_handed_in_at,
+            deadline_at,
+            attempts: Vec::new(),
+            ended: false,
+        };
         if let (true, Some(key)) = (class.in_order, message.key) {
-            self.keys.entry(key).or_default().queue.push_back(message.id);
+            self.key_queues.entry(key).or_default().queue.push_back(message.id);
         }
-        self.messages.insert(message.id, held);
-        self.open += 1;
-        self.dest(message.dest).arrivals.book(message.class, now, 1.0);
+        self.messages.insert(message.id, open_message);
+        self.open_count += 1;
+        self.dest_or_new(message.dest).arrivals.record(message.class, now, 1.0);
         self.hold(message.id);
     }
 
-    /// Takes up what an earlier process left: attempts used count on, and one that was out then may have run.
+    /// Opens a message that an earlier process left. Its attempts count, and one that was in flight may have
+    /// run.
     fn resume(&mut self, message: Message, past: &[PastAttempt], out: &mut Vec<Action>) {
-        self.take(message);
+        self.accept(message);
         let routes = self.routes.range_mut((message.dest, 0)..=(message.dest, EndpointId::MAX));
-        routes.for_each(|(_, route)| route.inherited = route.served.is_new());
-        let Some(held) = self.messages.get_mut(&message.id) else { return };
-        let zone =
-            |e: Option<EndpointId>| e.and_then(|e| self.endpoints.get(&e)).map_or(usize::MAX, |e| e.zone);
-        held.attempts.extend(past.iter().map(|p| Attempt {
-            endpoint: p.endpoint.unwrap_or(EndpointId::MAX),
-            zone: zone(p.endpoint),
+        routes.for_each(|(_, route)| route.inherited = route.served_count.is_empty());
+        let Some(open_message) = self.messages.get_mut(&message.id) else { return };
+        let zone_of = |endpoint: Option<EndpointId>| {
+            endpoint
+                .and_then(|endpoint| self.endpoints.get(&endpoint))
+                .map_or(usize::MAX, |endpoint| endpoint.zone)
+        };
+        open_message.attempts.extend(past.iter().map(|attempt| Attempt {
+            endpoint: attempt.endpoint.unwrap_or(EndpointId::MAX),
+            zone: zone_of(attempt.endpoint),
             call: u64::MAX,
-            sent: p.sent,
-            out: false,
-            may_have_run: p.may_have_run,
+            sent_at: attempt.sent,
+            in_flight: false,
+            may_have_run: attempt.may_have_run,
         }));
-        let class = &self.cfg.classes[message.class];
-        if let (true, Some(key), true) = (class.in_order, message.key, past.iter().any(|p| p.may_have_run)) {
-            self.keys.entry(key).or_default().rest_until = self.now + self.cfg.key_quiet_period;
+        let class = &self.settings.classes[message.class];
+        if let (true, Some(key), true) =
+            (class.in_order, message.key, past.iter().any(|attempt| attempt.may_have_run))
+        {
+            self.key_queues.entry(key).or_default().quiet_until = self.now + self.settings.key_quiet_period;
         }
-        self.end_if_hopeless(message.id, out);
+        self.expire_if_due(message.id, out);
     }
 
-    fn attempt_end(&mut self, e: &AttemptEnd, out: &mut Vec<Action>) {
+    /// Applies the end of an attempt to its message, call, destination, route and endpoint.
+    fn attempt_ended(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
         let now = self.now;
-        let Some(held) = self.messages.get_mut(&e.id) else { return };
-        let Some(attempt) = held.attempts.get_mut(e.attempt as usize).filter(|a| a.out) else { return };
-        attempt.out = false;
-        attempt.may_have_run = !e.outcome.never_ran();
-        let (call_id, message, over) = (attempt.call, held.message, held.over || e.done);
-        let class = &self.cfg.classes[message.class];
-        if let (true, true, Some(key)) = (class.in_order, e.outcome.may_still_run(), message.key) {
-            if let Some(turn) = self.keys.get_mut(&key) {
-                turn.rest_until = now + self.cfg.key_quiet_period;
+        let Some(open_message) = self.messages.get_mut(&end.id) else { return };
+        let Some(attempt) = open_message.attempts.get_mut(end.attempt as usize).filter(|a| a.in_flight)
+        else {
+            return;
+        };
+        attempt.in_flight = false;
+        attempt.may_have_run = !end.outcome.never_ran();
+        let (call_id, message, ended) = (attempt.call, open_message.message, open_message.ended || end.done);
+        let class = &self.settings.classes[message.class];
+        if let (true, true, Some(key)) = (class.in_order, end.outcome.may_still_run(), message.key) {
+            if let Some(key_queue) = self.key_queues.get_mut(&key) {
+                key_queue.quiet_until = now + self.settings.key_quiet_period;
             }
         }
         if let Some(call) = self.calls.get_mut(&call_id) {
-            let first = !std::mem::replace(&mut call.judged, true);
-            call.left -= 1;
-            let (level, sent, last, overdue) = (call.level, call.sent, call.left == 0, call.overdue);
+            let first_outcome = !std::mem::replace(&mut call.outcome_counted, true);
+            call.pending -= 1;
+            let (concurrency, sent_at, call_ended, overdue) =
+                (call.concurrency, call.sent_at, call.pending == 0, call.overdue);
             let dest = self.dests.get_mut(&call.dest).expect("a call's destination is known");
-            // Quick errors would read as quick answers: all but a served call books the full aim, so that a
-            // class misses there once about half of its calls fail.
-            let took = if e.outcome == Outcome::Served { e.took.max(0) } else { class.latency_target };
-            if e.outcome.measures_latency() {
-                dest.cells.book((message.class, level), now, took as f64);
+            // Fast errors must not count as fast responses: every call that was not served counts with the
+            // full latency target, so that a class misses it at this concurrency once about half of its calls
+            // fail.
+            let took = if end.outcome == Outcome::Served { end.took.max(0) } else { class.latency_target };
+            if end.outcome.measures_latency() {
+                dest.latencies.record((message.class, concurrency), now, took as f64);
             }
-            if e.outcome == Outcome::Served {
-                dest.served.book(now, 1.0);
+            if end.outcome == Outcome::Served {
+                dest.served_count.record(now, 1.0);
             }
-            match e.outcome {
-                // Clipped, so that one answer of a heavy tail does not stretch all time-outs; a slow spell is
-                // learned within a few. A time-out tells that the latency is beyond it.
+            match end.outcome {
+                // The value is bounded, so that one response of a heavy tail does not stretch all time-outs;
+                // a slow period is still learned within a few responses. After a time-out the latency is
+                // known to be at least this.
                 Outcome::Served | Outcome::NoAnswer | Outcome::CalledOff => {
-                    let known = dest.latency.aged(now) >= MEASURED;
-                    let clip = (1.5 * dest.latency.bound(PATIENCE)).max(LEAST_PATIENCE as f64);
-                    let took = (now - sent).max(e.took) as f64;
-                    dest.latency.book(now, if known { took.min(clip) } else { took });
+                    let measured = dest.latency.weight_at(now) >= MIN_WEIGHT;
+                    let bound =
+                        (1.5 * dest.latency.mean_plus_deviations(OVERDUE_DEVIATIONS)).max(MIN_OVERDUE as f64);
+                    let took = (now - sent_at).max(end.took) as f64;
+                    dest.latency.record(now, if measured { took.min(bound) } else { took });
                 }
                 _ => {}
             }
             let (dest_id, route_id) = (call.dest, call.route);
-            if last {
-                self.trials -= call.trial as usize;
+            if call_ended {
+                self.trials_in_flight -= call.trial as usize;
                 self.calls.remove(&call_id);
                 dest.in_flight -= 1;
             }
-            self.due(dest_id, LONG_AGO);
+            self.set_due(dest_id, LONG_AGO);
             if let Some(route) = self.routes.get_mut(&route_id) {
-                route.in_flight -= last as usize;
-                // Members of one call may come back in several batches, and a wait runs from each of these.
-                if e.retry_after > 0 {
-                    route.wait_until = route.wait_until.max(now.saturating_add(e.retry_after));
+                route.in_flight -= call_ended as usize;
+                // The messages of one call may end in several batches, and the wait starts anew with each.
+                if end.retry_after > 0 {
+                    route.retry_after_until =
+                        route.retry_after_until.max(now.saturating_add(end.retry_after));
                 }
             }
-            if let Some(place) = self.endpoints.get_mut(&e.endpoint).filter(|_| last) {
-                place.in_flight -= 1;
-                place.used_at = now;
-                self.ended.push(e.endpoint);
+            if let Some(endpoint) = self.endpoints.get_mut(&end.endpoint).filter(|_| call_ended) {
+                endpoint.in_flight -= 1;
+                endpoint.used_at = now;
+                self.ended_call_endpoints.push(end.endpoint);
             }
-            if first {
-                self.judge(e, route_id, overdue);
+            if first_outcome {
+                self.count_outcome(end, route_id, overdue);
             }
         }
-        if over {
-            self.close(e.id);
-        } else if e.outcome == Outcome::Malformed {
-            out.push(Action::Fail { id: e.id });
-            self.close(e.id);
-        } else if self.messages.get(&e.id).is_some_and(|m| !m.out()) {
-            self.hold(e.id);
-            self.end_if_hopeless(e.id, out);
+        if ended {
+            self.close_message(end.id);
+        } else if end.outcome == Outcome::Malformed {
+            out.push(Action::Fail { id: end.id });
+            self.close_message(end.id);
+        } else if self.messages.get(&end.id).is_some_and(|message| !message.in_flight()) {
+            self.hold(end.id);
+            self.expire_if_due(end.id, out);
         }
     }
 
-    /// Ends the book on a message that is over; it stays while attempts are out, to hold its key's turn.
-    fn close(&mut self, id: MsgId) {
-        let Some(held) = self.messages.get_mut(&id) else { return };
-        let message = held.message;
-        if !std::mem::replace(&mut held.over, true) {
-            self.open -= 1;
-            self.dest(message.dest).held.retain(|&h| h != id);
+    /// Ends a message. It is kept while attempts are in flight, so that the next message of its key waits for
+    /// them.
+    fn close_message(&mut self, id: MsgId) {
+        let Some(open_message) = self.messages.get_mut(&id) else { return };
+        let message = open_message.message;
+        if !std::mem::replace(&mut open_message.ended, true) {
+            self.open_count -= 1;
+            self.dest_or_new(message.dest).held.retain(|&held| held != id);
         }
-        if self.messages[&id].out() {
+        if self.messages[&id].in_flight() {
             return;
         }
         self.messages.remove(&id);
-        if let (true, Some(key)) = (self.cfg.classes[message.class].in_order, message.key) {
-            if let Some(turn) = self.keys.get_mut(&key) {
-                turn.queue.retain(|&q| q != id);
-                if turn.queue.is_empty() && turn.rest_until <= self.now {
-                    self.keys.remove(&key);
+        if let (true, Some(key)) = (self.settings.classes[message.class].in_order, message.key) {
+            if let Some(key_queue) = self.key_queues.get_mut(&key) {
+                key_queue.queue.retain(|&queued| queued != id);
+                if key_queue.queue.is_empty() && key_queue.quiet_until <= self.now {
+                    self.key_queues.remove(&key);
                 }
             }
         }
     }
 
-    /// Reads one call's outcome for its route: the limit's reports and the symptoms of an outage.
-    fn judge(&mut self, e: &AttemptEnd, route_id: RouteId, overdue: bool) {
+    /// Applies the outcome of a call to its route: the report of the limit, and the signs of an outage.
+    fn count_outcome(&mut self, end: &AttemptEnd, route_id: RouteId, overdue: bool) {
         let now = self.now;
-        let jitter = 0.5 + self.random();
-        let n = self.cfg.sender_count.max(1) as f64;
-        let stale = stale(&self.cfg);
+        let jitter = 0.5 + self.next_random();
+        let senders = self.settings.sender_count.max(1) as f64;
+        let validity = report_validity(&self.settings);
         let Some(route) = self.routes.get_mut(&route_id) else { return };
-        let Some(place) = self.endpoints.get_mut(&e.endpoint) else { return };
-        let mut left = None;
-        if let Some(report) = e.report {
+        let Some(endpoint) = self.endpoints.get_mut(&end.endpoint) else { return };
+        let mut remaining = None;
+        if let Some(report) = end.report {
             if report.limit.is_finite() && report.limit >= 0.0 {
-                route.limit = Some(match route.limit {
-                    Some(old) if old > 0.0 && report.limit > 0.0 => old + 0.3 * (report.limit - old),
+                route.reported_limit = Some(match route.reported_limit {
+                    Some(old) if old > 0.0 && report.limit > 0.0 => {
+                        old + REPORT_WEIGHT * (report.limit - old)
+                    }
                     _ => report.limit,
                 });
-                left = (report.limit > 0.0).then_some(report.remaining);
+                remaining = (report.limit > 0.0).then_some(report.remaining);
             }
         }
-        // An outage is no use: what was usual before it tells what the destination can do after it.
-        let well = !route.cold && route.failures + route.refusals == 0;
-        if well {
-            route.usual.age(now);
+        // Calls during an outage don't count: the usual rate before it shows what the destination can serve
+        // after it.
+        let healthy = !route.slow_start && route.failures + route.refusals == 0;
+        if healthy {
+            route.usual_rate.advance(now);
         }
-        route.usual.at = now;
-        let failed = match e.outcome {
+        route.usual_rate.updated_at = now;
+        let failed = match end.outcome {
             Outcome::Served => {
-                place.gap = now.saturating_sub(place.served_at);
-                place.served_at = now;
-                place.avoid_until = now;
-                route.served.book(now, 1.0);
-                if well {
-                    route.usual.book(now);
+                endpoint.served_interval = now.saturating_sub(endpoint.served_at);
+                endpoint.served_at = now;
+                endpoint.avoid_until = now;
+                route.served_count.record(now, 1.0);
+                if healthy {
+                    route.usual_rate.record(now);
                 }
-                (route.failures, route.refusals, route.crowded) = (0, 0, 0);
-                route.failing *= 0.7;
-                (route.doubt, route.inherited) = (false, false);
-                // It came back between the last call that failed and this one, sent since. The senders of a
-                // fleet, each with the middle, are right in the mean; this was the call that the ramp allows.
-                let sent = now - e.took.max(0);
-                if sent > route.back_at && take(&mut route.away) {
-                    route.back_at += (sent - route.back_at) / 2;
-                    (route.tokens, route.filled_at) = (0.0, now);
+                (route.failures, route.refusals, route.connection_refusals) = (0, 0, 0);
+                route.failure_share *= FAILURE_SHARE_DECAY;
+                (route.half_open, route.inherited) = (false, false);
+                // The route recovered between the last call that failed and the start of this one; half-way
+                // is right on average over the senders of a fleet. This call is the first one of the slow
+                // start.
+                let sent_at = now - end.took.max(0);
+                if sent_at > route.recovered_at && take(&mut route.down) {
+                    route.recovered_at += (sent_at - route.recovered_at) / 2;
+                    (route.tokens, route.refilled_at) = (0.0, now);
                 }
-                // The share follows what is left of the allowance: others' calls are not seen otherwise.
-                let (share, most) = (route.share_now(now, stale), route.most());
-                // An answer without a report tells just that there was room for one more.
-                (route.share, route.share_at) = match left {
-                    Some(l) if l > 0.5 => ((share * n.powf(RISE)).min(most), now - stale),
-                    Some(l) if l < 0.2 => ((share * 0.95).max(0.7 / n), now),
+                // The share follows the unused allowance: the calls of other senders are not seen in any
+                // other way.
+                let (share, max_share) = (route.current_share(now, validity), route.max_share());
+                // A response without a report shows only that there was room for one more call.
+                (route.share, route.share_at) = match remaining {
+                    Some(share_left) if share_left > AMPLE_ALLOWANCE => {
+                        ((share * senders.powf(SHARE_GROWTH_EXPONENT)).min(max_share), now - validity)
+                    }
+                    Some(share_left) if share_left < SCANT_ALLOWANCE => {
+                        ((share * 0.95).max(0.7 / senders), now)
+                    }
                     Some(_) => (share, now),
-                    // It does not hold up what time gives back: with few answers each, a fleet would never
-                    // have the limit back that one clump or outage took.
-                    None => ((share * PROBE).min(most), route.share_at.max(now - stale)),
+                    // `share_at` is not moved to now, so the share continues to grow with time. With few
+                    // responses to each sender, a fleet would otherwise never regain the limit after a burst
+                    // or an outage.
+                    None => ((share * SHARE_GROWTH).min(max_share), route.share_at.max(now - validity)),
                 };
                 false
             }
             Outcome::TurnedAway => {
                 let again = route.refusals > 0;
-                let fresh = route.step_down(now, now - e.took, again, n, stale);
-                route.refusals += u32::from(fresh);
-                // Shut: what was refused tells nothing of the limit.
-                let shut = e.retry_after >= SHUT_WAIT || route.refusals >= SHUT_RUN;
-                if shut {
+                let new_refusal = route.reduce_share(now, now - end.took, again, senders, validity);
+                route.refusals += u32::from(new_refusal);
+                // In an outage, refusals say nothing about the limit.
+                let outage = end.retry_after >= OUTAGE_RETRY_AFTER || route.refusals >= OUTAGE_REFUSALS;
+                if outage {
                     route.share = route.share_before;
                 }
-                route.pause(now, route.refusals, jitter);
-                if route.told() <= 0.0 && route.refusals >= ILL {
-                    route.mark_cold(now);
+                route.back_off(now, route.refusals, jitter);
+                if route.known_limit() <= 0.0 && route.refusals >= SLOW_START_FAILURES {
+                    route.enter_slow_start(now);
                 }
-                // At the limit a refusal is the limit's. Shut: a long wait, plenty left, or refusals only.
-                left.map_or(shut, |l| l > 0.4)
+                // With a report, a refusal is a sign of an outage only if much of the allowance is unused.
+                // Without one it is after a long requested wait or several refusals in a row.
+                remaining.map_or(outage, |share_left| share_left > OUTAGE_ALLOWANCE)
             }
-            // Calls that find no place take places as well: together all must call less often.
+            // Calls that are refused for lack of a connection use connections too: all senders together must
+            // call less.
             Outcome::Crowded => {
-                self.scarce_at.insert(place.kind, now);
-                (place.avoid_until, place.served_at) = (now + SECOND, now);
-                let again = route.crowded > 0;
-                route.crowded += u32::from(route.step_down(now, now - e.took, again, n, stale));
-                route.pause(now, route.crowded, jitter);
+                self.connections_scarce_at.insert(endpoint.kind, now);
+                (endpoint.avoid_until, endpoint.served_at) = (now + AVOID_ENDPOINT, now);
+                let again = route.connection_refusals > 0;
+                route.connection_refusals +=
+                    u32::from(route.reduce_share(now, now - end.took, again, senders, validity));
+                route.back_off(now, route.connection_refusals, jitter);
                 route.failures = 0;
                 false
             }
             Outcome::NoConnection => {
-                self.scarce_at.insert(place.kind, now);
-                // If it answered another call meanwhile its connections are all taken, and it is not down.
-                place.avoid_until = now + SECOND;
-                place.served_at < now.saturating_sub(e.took.max(self.cfg.tick))
+                self.connections_scarce_at.insert(endpoint.kind, now);
+                // If it served another call meanwhile, its connections are all in use and it is not down.
+                endpoint.avoid_until = now + AVOID_ENDPOINT;
+                endpoint.served_at < now.saturating_sub(end.took.max(self.settings.tick))
             }
             Outcome::ServerError | Outcome::NoAnswer | Outcome::ConnectionLost => {
-                place.avoid_until = now + SECOND;
+                endpoint.avoid_until = now + AVOID_ENDPOINT;
                 true
             }
             Outcome::CalledOff | Outcome::Malformed => false,
             Outcome::NotSent => {
-                route.not_before = now + 4 * self.cfg.tick;
+                route.backoff_until = now + 4 * self.settings.tick;
                 false
             }
         };
         if failed {
-            self.symptom(route_id, !(overdue && e.outcome == Outcome::NoAnswer), true);
+            self.record_failure(route_id, !(overdue && end.outcome == Outcome::NoAnswer), true);
         }
     }
 
-    /// One symptom of an outage, whatever its kind. Enough of them put the route in doubt: only single spaced
-    /// trials, and once one was `told` by an outcome a ramp. An overdue call then served was slow.
-    /// Should cover kinds not listed too; harms where errors are common but the rest is well.
-    fn symptom(&mut self, id: RouteId, counts: bool, told: bool) {
-        let n = self.cfg.sender_count.max(1) as f64;
+    /// Counts one failure of a route. Enough failures make the route half-open: only single spaced trial
+    /// calls are sent. Failures that are `confirmed` by an outcome also begin a slow start; an overdue call
+    /// that is served later was only slow. `counts`: the failure has not been counted before.
+    ///
+    /// This covers outages of any kind, and slows down a route where errors are common without an outage.
+    fn record_failure(&mut self, id: RouteId, counts: bool, confirmed: bool) {
+        let senders = self.settings.sender_count.max(1) as f64;
         let Some(route) = self.routes.get_mut(&id) else { return };
         if counts {
             route.failures += 1;
-            route.failing = route.failing * 0.7 + 0.3;
+            route.failure_share = route.failure_share * FAILURE_SHARE_DECAY + FAILURE_WEIGHT;
         }
-        let sick = route.failures >= DOUBT_RUN || route.failing > DOUBT_SHARE;
-        route.doubt |= sick;
-        // Single failures on the way up are no outage: were each to start the ramp anew, a route that loses
-        // one call in twenty would never be warm again.
-        // What is left of another life has waited, and was perhaps refused or lost there.
-        let one_of_many = route.told() <= 0.0 && self.cfg.sender_count > FEW;
-        let ill = (one_of_many || route.inherited) && route.failures >= ILL;
-        if told && (sick || ill) {
-            if !route.cold {
-                let stale = stale(&self.cfg);
-                // After an outage every sender has work that waited.
-                if self.cfg.sender_count > FEW {
-                    (route.share, route.share_at) = (route.share_now(self.now, stale).min(1.0 / n), self.now);
+        let failing = route.failures >= HALF_OPEN_FAILURES || route.failure_share > HALF_OPEN_FAILURE_SHARE;
+        route.half_open |= failing;
+        // A single failure during recovery is no outage: if each began the slow start anew, a route that
+        // loses one call in twenty would never leave it. Work that an earlier process left has waited, and
+        // may have been refused or lost by this route already, so two failures suffice.
+        let one_of_many = route.known_limit() <= 0.0 && self.settings.sender_count > MAX_ACTIVE_SENDERS;
+        let suspect = (one_of_many || route.inherited) && route.failures >= SLOW_START_FAILURES;
+        if confirmed && (failing || suspect) {
+            if !route.slow_start {
+                let validity = report_validity(&self.settings);
+                // After an outage every sender has waiting work, so each takes an equal share.
+                if self.settings.sender_count > MAX_ACTIVE_SENDERS {
+                    (route.share, route.share_at) =
+                        (route.current_share(self.now, validity).min(1.0 / senders), self.now);
                 }
-                route.learn(self.now, stale, route.usual.rate().max(LEAST / n));
+                route.estimate_limit(
+                    self.now,
+                    validity,
+                    route.usual_rate.rate().max(MIN_FLEET_RATE / senders),
+                );
             }
-            route.mark_cold(self.now);
+            route.enter_slow_start(self.now);
         }
     }
 
-    /// Calls out far longer than usual are a symptom before their time-out: unsafe ones may have none. Each
-    /// counts once its endpoint has served nothing since it was sent, or for as long as a call may take (when
-    /// one of two endpoints hangs, the other goes on serving); meanwhile its endpoint is avoided.
-    fn notice_overdue(&mut self) {
-        let mut seen = Vec::new();
+    /// Finds calls that are in flight for far longer than usual. Such a call is a failure before its
+    /// time-out, which calls of unsafe messages may not have. It counts if its endpoint has served nothing
+    /// since it was sent, or for as long as a call may take: if one of two endpoints hangs, the other
+    /// continues to serve. In either case the endpoint is avoided.
+    fn mark_overdue(&mut self) {
+        let mut overdue_routes = Vec::new();
         for call in self.calls.values_mut() {
-            let patience = patience(&self.cfg, &self.dests[&call.dest], self.now);
-            let Some(place) = self.endpoints.get_mut(&call.endpoint) else { continue };
-            if self.now - call.sent > patience {
-                place.avoid_until = place.avoid_until.max(self.now + SECOND);
-                let silent = place.served_at < call.sent || self.now - place.served_at > patience;
+            let overdue_after = overdue_after(&self.settings, &self.dests[&call.dest], self.now);
+            let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) else { continue };
+            if self.now - call.sent_at > overdue_after {
+                endpoint.avoid_until = endpoint.avoid_until.max(self.now + AVOID_ENDPOINT);
+                let silent =
+                    endpoint.served_at < call.sent_at || self.now - endpoint.served_at > overdue_after;
                 if silent && !call.overdue {
                     call.overdue = true;
-                    seen.push(call.route);
+                    overdue_routes.push(call.route);
                 }
             }
         }
-        for route in seen {
-            self.symptom(route, true, false);
+        for route in overdue_routes {
+            self.record_failure(route, true, false);
         }
     }
 
-    /// Calls a second that a cold route may get from this sender: its part of the fall-over budget. It grows
-    /// from when the route is taken to have come back.
-    fn ramp(&self, route: &Route) -> f64 {
-        // Where nobody tells a limit, what it was just seen to serve it can do.
-        let proven = if route.told() > 0.0 { 0.0 } else { per_second(route.served.aged(self.now)) };
-        self.ramp_since(route, route.back_at).max(MARGIN * self.cfg.overload_factor * proven)
+    /// Returns the calls per second that this sender may send to a route in slow start: its part of the calls
+    /// that do not overload the route. It grows from the estimated end of the outage.
+    fn slow_start_rate(&self, route: &Route) -> f64 {
+        // Without a known limit, the route can at least serve what it has just been seen to serve.
+        let proven =
+            if route.known_limit() > 0.0 { 0.0 } else { steady_rate(route.served_count.weight_at(self.now)) };
+        self.slow_start_rate_since(route, route.recovered_at)
+            .max(OVERLOAD_BUDGET_SHARE * self.settings.overload_factor * proven)
     }
 
-    fn ramp_since(&self, route: &Route, since: Ns) -> f64 {
-        let c = &self.cfg;
-        let n = c.sender_count.max(1) as f64;
-        let told = route.told();
-        let spare = if route.partial { SPARE_PARTIAL } else { SPARE };
-        let part = if told > 0.0 { told / n } else { (spare * route.usual.rate()).max(1.0 / n) };
-        let warm = ((self.now - since) as f64 / c.slow_start_window.max(1) as f64).clamp(0.0, 1.0);
-        let now_able = c.slow_start_capacity + (1.0 - c.slow_start_capacity) * warm;
-        (MARGIN * c.overload_factor * now_able * part).max(LEAST / n)
+    /// Returns the same for a slow start that began at `since`.
+    fn slow_start_rate_since(&self, route: &Route, since: Ns) -> f64 {
+        let settings = &self.settings;
+        let senders = settings.sender_count.max(1) as f64;
+        let limit = route.known_limit();
+        let headroom = if route.partial_outage { PARTIAL_RECOVERY_HEADROOM } else { RECOVERY_HEADROOM };
+        let full_rate = if limit > 0.0 {
+            limit / senders
+        } else {
+            (headroom * route.usual_rate.rate()).max(1.0 / senders)
+        };
+        let progress = ((self.now - since) as f64 / settings.slow_start_window.max(1) as f64).clamp(0.0, 1.0);
+        let capacity = settings.slow_start_capacity + (1.0 - settings.slow_start_capacity) * progress;
+        (OVERLOAD_BUDGET_SHARE * settings.overload_factor * capacity * full_rate)
+            .max(MIN_FLEET_RATE / senders)
     }
 
-    /// When an endpoint that operators have put back may next be called while it is cold: from then on its
-    /// part of the destination's ramp, so that its neighbours' pace stays theirs.
-    fn warm_at(&mut self, id: EndpointId) -> Ns {
+    /// Returns when an endpoint may next be called that operators have put back. During its slow start it
+    /// gets its part of the destination's rate, so that the rate of the other endpoints does not change.
+    fn endpoint_ready_at(&mut self, id: EndpointId) -> Ns {
         let now = self.now;
-        let place = &self.endpoints[&id];
-        let Some(back) = place.back_at else { return now };
+        let endpoint = &self.endpoints[&id];
+        let Some(put_back_at) = endpoint.put_back_at else { return now };
         let route = self.route_of(id);
         let shared = route.1 == EndpointId::MAX;
         let usable = |e: &&EndpointId| self.endpoints.get(e).is_some_and(|e| e.usable);
-        let parts =
-            if shared { self.dests[&place.dest].places.iter().filter(usable).count().max(1) } else { 1 };
-        let rate = self.ramp_since(&self.routes[&route], back) / parts as f64;
-        let cold = self.cfg.slow_start_window;
-        let place = self.endpoints.get_mut(&id).expect("looked up above");
-        if now - back > cold {
-            place.back_at = None;
+        let usable_endpoints = if shared {
+            self.dests[&endpoint.dest].endpoints.iter().filter(usable).count().max(1)
+        } else {
+            1
+        };
+        let rate = self.slow_start_rate_since(&self.routes[&route], put_back_at) / usable_endpoints as f64;
+        let slow_start_window = self.settings.slow_start_window;
+        let endpoint = self.endpoints.get_mut(&id).expect("looked up above");
+        if now - put_back_at > slow_start_window {
+            endpoint.put_back_at = None;
             return now;
         }
-        refill(&mut place.tokens, &mut place.filled_at, rate, 1.0, now)
+        refill(&mut endpoint.tokens, &mut endpoint.refilled_at, rate, 1.0, now)
     }
 
-    /// When the route may next be called; at or before now means it may be called now.
-    fn ready_at(&mut self, id: RouteId) -> Ns {
+    /// Returns when the route may next be called; now or earlier means at once.
+    fn route_ready_at(&mut self, id: RouteId) -> Ns {
         let now = self.now;
         let Some(route) = self.routes.get(&id) else { return Ns::MAX };
-        let held_off = route.wait_until.max(route.not_before);
-        if held_off > now {
-            return held_off;
+        let blocked_until = route.retry_after_until.max(route.backoff_until);
+        if blocked_until > now {
+            return blocked_until;
         }
-        let (ramp, stale) = (self.ramp(route), stale(&self.cfg));
+        let (slow_start_rate, validity) = (self.slow_start_rate(route), report_validity(&self.settings));
         let route = self.routes.get_mut(&id).expect("looked up above");
-        if route.cold && !route.doubt && now - route.back_at > self.cfg.slow_start_window {
-            route.cold = false;
+        if route.slow_start && !route.half_open && now - route.recovered_at > self.settings.slow_start_window
+        {
+            route.slow_start = false;
         }
-        if route.doubt {
-            return if route.in_flight > 0 { Ns::MAX } else { route.next_trial };
+        if route.half_open {
+            return if route.in_flight > 0 { Ns::MAX } else { route.next_trial_at };
         }
-        let mut rate = route.pace(now, stale);
+        let mut rate = route.rate(now, validity);
         let mut burst = (0.4 * rate).clamp(1.0, 4.0);
-        if route.cold {
-            (rate, burst) = (rate.min(ramp), 1.0);
+        if route.slow_start {
+            (rate, burst) = (rate.min(slow_start_rate), 1.0);
         }
         if rate.is_infinite() {
             return now;
         }
-        refill(&mut route.tokens, &mut route.filled_at, rate, burst, now)
+        refill(&mut route.tokens, &mut route.refilled_at, rate, burst, now)
     }
 
-    /// The one guard of every further send (`to`) and refusal (`None`): no effect may happen twice.
-    fn allows(&self, held: &Held, to: Option<EndpointId>) -> bool {
-        let class = &self.cfg.classes[held.message.class];
+    /// Returns whether a message may be sent `to` an endpoint, or refused (`None`), without the risk that its
+    /// effect happens twice. Every send and every refusal passes this check.
+    fn allows(&self, open_message: &OpenMessage, to: Option<EndpointId>) -> bool {
+        let class = &self.settings.classes[open_message.message.class];
         if to.is_some() {
-            let spent = held.attempts.len() >= self.cfg.max_attempts as usize;
-            if held.over || spent || (held.out() && !self.cfg.may_duplicate) {
+            let attempts_used_up = open_message.attempts.len() >= self.settings.max_attempts as usize;
+            if open_message.ended
+                || attempts_used_up
+                || (open_message.in_flight() && !self.settings.may_duplicate)
+            {
                 return false;
             }
         }
-        let mut may_have_run = held.attempts.iter().filter(|a| a.out || a.may_have_run).peekable();
+        let mut may_have_run = open_message
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.in_flight || attempt.may_have_run)
+            .peekable();
         if may_have_run.peek().is_none() {
             return true;
         }
@@ -747,296 +906,369 @@
             Effect::Unsafe => false,
             Effect::Keyed => match to {
                 None => class.dedup_scope == DedupScope::All,
-                Some(to) => may_have_run.all(|a| {
-                    let same = match class.dedup_scope {
+                Some(to) => may_have_run.all(|attempt| {
+                    let same_scope = match class.dedup_scope {
                         DedupScope::All => true,
-                        DedupScope::Zone => self.endpoints.get(&to).is_some_and(|p| p.zone == a.zone),
-                        DedupScope::Endpoint => a.endpoint == to,
+                        DedupScope::Zone => {
+                            self.endpoints.get(&to).is_some_and(|endpoint| endpoint.zone == attempt.zone)
+                        }
+                        DedupScope::Endpoint => attempt.endpoint == to,
                     };
-                    same && self.now + self.cfg.tick < a.sent.saturating_add(class.dedup_window)
+                    same_scope
+                        && self.now + self.settings.tick < attempt.sent_at.saturating_add(class.dedup_window)
                 }),
             },
         }
     }
 
-    /// Order by key: only the oldest of a key may go, and after one that may still run the key rests.
-    fn has_turn(&self, held: &Held) -> bool {
-        let (true, Some(key)) = (self.cfg.classes[held.message.class].in_order, held.message.key) else {
+    /// Returns whether a message may go by the order of its key: it is the oldest of its key, and the quiet
+    /// period after an attempt that may still run is over, or the message has been attempted already.
+    fn is_next_of_key(&self, open_message: &OpenMessage) -> bool {
+        let (true, Some(key)) =
+            (self.settings.classes[open_message.message.class].in_order, open_message.message.key)
+        else {
             return true;
         };
-        self.keys.get(&key).is_some_and(|t| {
-            t.queue.front() == Some(&held.message.id)
-                && (t.rest_until <= self.now || !held.attempts.is_empty())
+        self.key_queues.get(&key).is_some_and(|key_queue| {
+            key_queue.queue.front() == Some(&open_message.message.id)
+                && (key_queue.quiet_until <= self.now || !open_message.attempts.is_empty())
         })
     }
 
-    /// Worth of a message if it were delivered at a time.
-    fn worth(&self, held: &Held, at: Ns) -> f64 {
-        let c = &self.cfg.classes[held.message.class];
-        let aim = (c.latency_target as f64 + c.latency_target_per_cost * held.message.cost as f64)
-            .min(c.deadline as f64);
-        let age = (at - held.born) as f64;
-        let share = if at > held.end {
+    /// Returns the worth of a message if it were delivered at a time.
+    fn worth(&self, open_message: &OpenMessage, at: Ns) -> f64 {
+        let class = &self.settings.classes[open_message.message.class];
+        let target = (class.latency_target as f64
+            + class.latency_target_per_cost * open_message.message.cost as f64)
+            .min(class.deadline as f64);
+        let age = (at - open_message.first_handed_in_at) as f64;
+        let share = if at > open_message.deadline_at {
             0.0
-        } else if age <= aim {
+        } else if age <= target {
             1.0
-        } else if self.cfg.exponential_decay {
-            (-((age - aim) / aim)).exp2().max(c.late_worth)
+        } else if self.settings.exponential_decay {
+            (-((age - target) / target)).exp2().max(class.late_worth)
         } else {
-            1.0 - (1.0 - c.late_worth) * (age - aim) / (c.deadline as f64 - aim).max(1.0)
+            1.0 - (1.0 - class.late_worth) * (age - target) / (class.deadline as f64 - target).max(1.0)
         };
-        c.worth * share
+        class.worth * share
     }
 
-    /// Sends what may go now, the most urgent first. While all slots are taken only the period looks.
+    /// Sends the messages that may be sent now, in the order of their worth per time in a slot. While all
+    /// slots are taken this is left to the periodic work.
     fn dispatch(&mut self, periodic: bool, out: &mut Vec<Action>) {
-        if self.calls.len() >= self.cfg.slots && !periodic {
+        if self.calls.len() >= self.settings.slots && !periodic {
             return;
         }
         let due = self.agenda.range(..=(self.now, DestId::MAX));
-        let mut look: Vec<DestId> = due.map(|&(_, id)| id).collect();
-        let mut sendable: Vec<Plan> = Vec::new();
+        let mut to_consider: Vec<DestId> = due.map(|&(_, id)| id).collect();
+        let mut sendable: Vec<CallCandidate> = Vec::new();
         loop {
-            for id in look.drain(..) {
-                match self.candidate(id) {
-                    Ok(plan) => sendable.push(plan),
-                    Err(at) => self.due(id, at),
+            for id in to_consider.drain(..) {
+                match self.next_candidate(id) {
+                    Ok(candidate) => sendable.push(candidate),
+                    Err(at) => self.set_due(id, at),
                 }
             }
             let best = (0..sendable.len()).max_by(|&a, &b| sendable[a].3.total_cmp(&sendable[b].3));
-            let Some(best) = best.filter(|_| self.calls.len() < self.cfg.slots) else { break };
+            let Some(best) = best.filter(|_| self.calls.len() < self.settings.slots) else { break };
             let (dest, endpoint, ids, _) = sendable.swap_remove(best);
             self.send(dest, endpoint, &ids, out);
-            look.push(dest);
+            to_consider.push(dest);
         }
-        if self.cfg.may_cancel && !sendable.is_empty() && !self.calls.values().any(|c| c.cancelled) {
-            self.free_a_slot(out);
+        if self.settings.may_cancel && !sendable.is_empty() && !self.calls.values().any(|call| call.cancelled)
+        {
+            self.cancel_overdue_call(out);
         }
     }
 
-    /// All slots are taken while work waits: calls off the call longest overdue if its work may go again, or
-    /// if it has had three times its time: an unsafe message then fails, as its slot serves many others.
-    /// Guards against hung or lossy destinations that hold every slot; would harm where all is slow or a
-    /// message is heavy by itself, so each is called off once at most while it may go on.
-    fn free_a_slot(&mut self, out: &mut Vec<Action>) {
-        // Members of a call that have come back don't matter; one that hangs holds the slot for all.
-        let fresh = |id: &MsgId| {
-            self.messages.get(id).is_none_or(|h| {
-                let runs = h.attempts.iter().filter(|a| a.may_have_run).count();
-                !h.out() || runs == 1 && self.now + SECOND < self.resend_until(h)
+    /// Cancels the first overdue call to free a slot, when all slots are taken and work waits: one whose
+    /// messages may be sent again, or that has taken three times as long as one may. An unsafe message then
+    /// fails, as its slot serves many others.
+    ///
+    /// This guards against destinations that hang or lose calls and so hold every slot. It would harm where
+    /// everything is slow or a message is heavy by itself, so each message is cancelled at most once while it
+    /// may be sent again.
+    fn cancel_overdue_call(&mut self, out: &mut Vec<Action>) {
+        // Messages of the call that have ended do not matter; one that hangs holds the slot for all.
+        let may_repeat = |id: &MsgId| {
+            self.messages.get(id).is_none_or(|open_message| {
+                let possible_runs =
+                    open_message.attempts.iter().filter(|attempt| attempt.may_have_run).count();
+                !open_message.in_flight()
+                    || possible_runs == 1 && self.now + SECOND < self.resend_until(open_message)
             })
         };
-        let may_end = |c: &Call| {
-            let (age, patience) = (self.now - c.sent, patience(&self.cfg, &self.dests[&c.dest], self.now));
-            age > patience && c.messages.iter().all(fresh) || age > 3 * patience
+        let may_cancel = |call: &Call| {
+            let (age, limit) =
+                (self.now - call.sent_at, overdue_after(&self.settings, &self.dests[&call.dest], self.now));
+            age > limit && call.messages.iter().all(may_repeat) || age > 3 * limit
         };
-        let Some(number) = self.calls.iter().find(|(_, c)| may_end(c)).map(|(&k, _)| k) else { return };
-        let Some(call) = self.calls.get_mut(&number) else { return };
+        let Some(call_number) =
+            self.calls.iter().find(|(_, call)| may_cancel(call)).map(|(&number, _)| number)
+        else {
+            return;
+        };
+        let Some(call) = self.calls.get_mut(&call_number) else { return };
         call.cancelled = true;
         for &id in &call.messages {
-            let mut attempts = self.messages.get(&id).into_iter().flat_map(|h| h.attempts.iter());
-            if let Some(attempt) = attempts.position(|a| a.call == number && a.out) {
+            let mut attempts =
+                self.messages.get(&id).into_iter().flat_map(|open_message| open_message.attempts.iter());
+            if let Some(attempt) =
+                attempts.position(|attempt| attempt.call == call_number && attempt.in_flight)
+            {
                 out.push(Action::Cancel { id, attempt: attempt as u32 });
             }
         }
     }
 
-    /// Until when a message may go again if its attempts so far may all have run.
-    fn resend_until(&self, held: &Held) -> Ns {
-        let class = &self.cfg.classes[held.message.class];
-        let first = held.attempts.iter().find(|a| a.may_have_run).map_or(self.now, |a| a.sent);
+    /// Returns until when a message may be sent again if all its attempts so far may have run.
+    fn resend_until(&self, open_message: &OpenMessage) -> Ns {
+        let class = &self.settings.classes[open_message.message.class];
+        let first_sent_at = open_message
+            .attempts
+            .iter()
+            .find(|attempt| attempt.may_have_run)
+            .map_or(self.now, |attempt| attempt.sent_at);
         match class.effect {
-            Effect::Safe => held.end,
-            Effect::Keyed => held.end.min(first.saturating_add(class.dedup_window)),
+            Effect::Safe => open_message.deadline_at,
+            Effect::Keyed => open_message.deadline_at.min(first_sent_at.saturating_add(class.dedup_window)),
             Effect::Unsafe => Ns::MIN,
         }
     }
 
-    /// The next call to a destination: endpoint, messages and urgency; or when one may be possible.
-    fn candidate(&mut self, id: DestId) -> Result<Plan, Ns> {
+    /// Returns the next call to a destination, or the time at which one may become possible.
+    fn next_candidate(&mut self, id: DestId) -> Result<CallCandidate, Ns> {
         let now = self.now;
         let dest = &self.dests[&id];
         if dest.held.is_empty() || dest.in_flight >= dest.cap {
             return Err(Ns::MAX);
         }
         let mut best: Option<(bool, bool, bool, usize, u32, EndpointId)> = None;
-        let mut wake = Ns::MAX;
-        for place in dest.places.clone() {
-            if !self.endpoints.get(&place).is_some_and(|e| e.dest == id && e.usable) {
+        let mut wake_at = Ns::MAX;
+        for endpoint in dest.endpoints.clone() {
+            if !self.endpoints.get(&endpoint).is_some_and(|state| state.dest == id && state.usable) {
                 continue;
             }
-            let route_id = self.route_of(place);
-            let at = self.ready_at(route_id).max(self.warm_at(place));
-            if at > now {
-                wake = wake.min(at);
+            let route_id = self.route_of(endpoint);
+            let ready_at = self.route_ready_at(route_id).max(self.endpoint_ready_at(endpoint));
+            if ready_at > now {
+                wake_at = wake_at.min(ready_at);
                 continue;
             }
-            if self.routes[&route_id].doubt
-                && self.trials >= ((self.cfg.slots as f64 * DOUBT_SLOTS) as usize).max(1)
+            if self.routes[&route_id].half_open
+                && self.trials_in_flight
+                    >= ((self.settings.slots as f64 * HALF_OPEN_SLOT_SHARE) as usize).max(1)
             {
                 continue;
             }
-            let e = &self.endpoints[&place];
-            let warm = if now - e.used_at < self.cfg.idle_timeout { e.warm } else { e.in_flight };
-            let cold_conn = e.in_flight >= warm * self.cfg.streams_per_connection;
-            let far = e.zone != self.cfg.zone;
-            let key = (e.avoid_until > now, far, cold_conn, e.in_flight, e.lot, place);
-            best = Some(best.map_or(key, |b| b.min(key)));
+            let state = &self.endpoints[&endpoint];
+            let open_connections = if now - state.used_at < self.settings.idle_timeout {
+                state.open_connections
+            } else {
+                state.in_flight
+            };
+            let needs_connection = state.in_flight >= open_connections * self.settings.streams_per_connection;
+            let other_zone = state.zone != self.settings.zone;
+            let rank = (
+                state.avoid_until > now,
+                other_zone,
+                needs_connection,
+                state.in_flight,
+                state.tie_break,
+                endpoint,
+            );
+            best = Some(best.map_or(rank, |b| b.min(rank)));
         }
-        let Some((.., place)) = best else { return Err(wake) };
+        let Some((.., endpoint)) = best else { return Err(wake_at) };
         let dest = &self.dests[&id];
-        let route = &self.routes[&self.route_of(place)];
-        // What going last instead of now would cost: in a short queue little but to the oldest, in a long one
-        // all, so that fresh work goes first and late work takes what is left over.
-        let batch = self.cfg.kinds.get(self.endpoints[&place].kind).map_or(1, |k| k.max_batch.max(1));
-        let drain = (dest.held.len() as f64 * dest.turn_every(now)) as Ns;
-        let drain = drain.clamp(SECOND, 30 * SECOND);
+        let route = &self.routes[&self.route_of(endpoint)];
+        // Urgency is the worth lost if the message went last in the queue instead of now: in a short queue
+        // little except for the oldest, in a long one all. So fresh work is sent first, and late work takes
+        // the capacity that is left over.
+        let max_batch =
+            self.settings.kinds.get(self.endpoints[&endpoint].kind).map_or(1, |kind| kind.max_batch.max(1));
+        let queue_time = (dest.held.len() as f64 * dest.service_interval(now)) as Ns;
+        let queue_time = queue_time.clamp(SECOND, 30 * SECOND);
         let latency = dest.latency.mean() as Ns;
         let mut order: Vec<(f64, MsgId)> = Vec::new();
-        for &m in &dest.held {
-            let held = &self.messages[&m];
-            if !self.allows(held, Some(place)) || !self.has_turn(held) {
+        for &message_id in &dest.held {
+            let open_message = &self.messages[&message_id];
+            if !self.allows(open_message, Some(endpoint)) || !self.is_next_of_key(open_message) {
                 continue;
             }
-            let mut urgency = self.worth(held, now + latency) - self.worth(held, now + latency + drain);
-            // A trial may be lost: an unsafe message cannot be sent again and goes last.
-            if route.doubt && self.cfg.classes[held.message.class].effect == Effect::Unsafe {
+            let mut urgency = self.worth(open_message, now + latency)
+                - self.worth(open_message, now + latency + queue_time);
+            // The message of a trial call may be lost, and an unsafe one cannot be sent again: it goes last.
+            if route.half_open && self.settings.classes[open_message.message.class].effect == Effect::Unsafe {
                 urgency -= 1e6;
             }
-            order.push((urgency, m));
+            order.push((urgency, message_id));
         }
         if order.is_empty() {
-            return Err(wake);
+            return Err(wake_at);
         }
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        order.truncate(batch);
-        let gain: f64 = order.iter().map(|&(_, m)| self.worth(&self.messages[&m], now + latency)).sum();
-        // Where slots are scarce, worth for the time that a slot is held counts.
-        let slot_time = latency.max(PERIOD) as f64;
-        Ok((id, place, order.into_iter().map(|(_, m)| m).collect(), gain / slot_time))
+        order.truncate(max_batch);
+        let worth: f64 =
+            order.iter().map(|&(_, message_id)| self.worth(&self.messages[&message_id], now + latency)).sum();
+        // Slots may be scarce, so calls compare by the worth per time that they hold a slot.
+        let slot_time = latency.max(CONTROL_PERIOD) as f64;
+        Ok((id, endpoint, order.into_iter().map(|(_, message_id)| message_id).collect(), worth / slot_time))
     }
 
+    /// Starts a call with the given messages.
     fn send(&mut self, id: DestId, endpoint: EndpointId, ids: &[MsgId], out: &mut Vec<Action>) {
         let now = self.now;
         let route_id = self.route_of(endpoint);
-        let ramp = self.ramp(&self.routes[&route_id]);
-        let wait = (2e9 * self.random() / ramp) as Ns;
+        let slow_start_rate = self.slow_start_rate(&self.routes[&route_id]);
+        let trial_interval = (2e9 * self.next_random() / slow_start_rate) as Ns;
         let route = self.routes.get_mut(&route_id).expect("a candidate's route is known");
         route.in_flight += 1;
-        route.sent.book(now);
+        route.sent_rate.record(now);
         route.tokens -= 1.0;
-        route.next_trial = now + wait.clamp(500 * MS, SECOND * self.cfg.sender_count.max(3) as Ns);
-        let trial = route.doubt;
-        self.trials += trial as usize;
-        let place = self.endpoints.get_mut(&endpoint).expect("a candidate's endpoint is known");
-        let zone = place.zone;
-        if now.saturating_sub(place.used_at) >= self.cfg.idle_timeout {
-            place.warm = place.in_flight;
+        route.next_trial_at =
+            now + trial_interval.clamp(500 * MS, SECOND * self.settings.sender_count.max(3) as Ns);
+        let trial = route.half_open;
+        self.trials_in_flight += trial as usize;
+        let state = self.endpoints.get_mut(&endpoint).expect("a candidate's endpoint is known");
+        let zone = state.zone;
+        if now.saturating_sub(state.used_at) >= self.settings.idle_timeout {
+            state.open_connections = state.in_flight;
         }
-        if place.back_at.is_some() {
-            place.tokens -= 1.0;
+        if state.put_back_at.is_some() {
+            state.tokens -= 1.0;
         }
-        place.in_flight += 1;
-        place.used_at = now;
-        place.warm = place.warm.max(place.in_flight.div_ceil(self.cfg.streams_per_connection));
-        let top = top(&self.cfg);
+        state.in_flight += 1;
+        state.used_at = now;
+        state.open_connections =
+            state.open_connections.max(state.in_flight.div_ceil(self.settings.streams_per_connection));
+        let max_cap = max_cap(&self.settings);
         let dest = self.dests.get_mut(&id).expect("a candidate's destination is known");
         dest.in_flight += 1;
-        let level = dest.in_flight.min(top);
-        let patience = 2 * patience(&self.cfg, dest, now);
-        dest.held.retain(|h| !ids.contains(h));
-        let (call, left) = (self.next_call, ids.len());
+        let concurrency = dest.in_flight.min(max_cap);
+        let timeout = 2 * overdue_after(&self.settings, dest, now);
+        dest.held.retain(|held| !ids.contains(held));
+        let (call, pending) = (self.next_call, ids.len());
         self.next_call += 1;
         let (route, messages) = (route_id, ids.to_vec());
-        let new =
-            Call { dest: id, endpoint, route, level, sent: now, left, trial, messages, ..Call::default() };
-        self.calls.insert(call, new);
-        for &m in ids {
-            // A repeat that a slow connection carried past the window would not be dropped as one.
-            let held = &self.messages[&m];
-            let repeat = held.attempts.iter().any(|a| a.may_have_run);
-            let by = if repeat { self.resend_until(held) } else { held.end };
-            let held = self.messages.get_mut(&m).expect("held messages are known");
-            held.attempts.push(Attempt { endpoint, zone, call, sent: now, out: true, may_have_run: true });
-            // Giving up early gains only where the message may then go again.
-            let again = now + patience + 2 * self.cfg.tick;
-            let useful = again < self.resend_until(&self.messages[&m]);
-            let limit = if useful { patience } else { 0 };
-            out.push(Action::Send { id: m, endpoint, limit, by });
+        let new_call = Call {
+            dest: id,
+            endpoint,
+            route,
+            concurrency,
+            sent_at: now,
+            pending,
+            trial,
+            messages,
+            ..Call::default()
+        };
+        self.calls.insert(call, new_call);
+        for &message_id in ids {
+            // A repeat that is written after the deduplication window, because connecting took long, would
+            // run again.
+            let open_message = &self.messages[&message_id];
+            let repeat = open_message.attempts.iter().any(|a| a.may_have_run);
+            let by = if repeat { self.resend_until(open_message) } else { open_message.deadline_at };
+            let open_message = self.messages.get_mut(&message_id).expect("held messages are known");
+            open_message.attempts.push(Attempt {
+                endpoint,
+                zone,
+                call,
+                sent_at: now,
+                in_flight: true,
+                may_have_run: true,
+            });
+            // A time-out gains something only if the message may be sent again after it.
+            let next_attempt_at = now + timeout + 2 * self.settings.tick;
+            let useful = next_attempt_at < self.resend_until(&self.messages[&message_id]);
+            let limit = if useful { timeout } else { 0 };
+            out.push(Action::Send { id: message_id, endpoint, limit, by });
         }
     }
 
-    /// When a message's time left no longer covers a call.
-    fn last_call(&self, held: &Held) -> Ns {
-        let latency = self.dests[&held.message.dest].latency.mean() as Ns;
-        let aim = self.cfg.classes[held.message.class].latency_target;
-        held.end - (latency / 2).min(aim / 4).max(2 * self.cfg.tick)
+    /// Returns the latest time at which a message can still be sent with a chance to be delivered in time.
+    fn latest_send(&self, open_message: &OpenMessage) -> Ns {
+        let latency = self.dests[&open_message.message.dest].latency.mean() as Ns;
+        let target = self.settings.classes[open_message.message.class].latency_target;
+        open_message.deadline_at - (latency / 2).min(target / 4).max(2 * self.settings.tick)
     }
 
-    /// Looks through all held work for what has no time left.
-    fn end_hopeless(&mut self, out: &mut Vec<Action>) {
-        let held = self.active.iter().flat_map(|d| self.dests[d].held.iter().copied()).collect::<Vec<_>>();
-        self.next_end = held.into_iter().map(|id| self.end_if_hopeless(id, out)).min().unwrap_or(Ns::MAX);
+    /// Ends all held messages that have no time left or cannot be sent any more.
+    fn expire_held(&mut self, out: &mut Vec<Action>) {
+        let held =
+            self.active.iter().flat_map(|dest| self.dests[dest].held.iter().copied()).collect::<Vec<_>>();
+        self.next_expiry = held.into_iter().map(|id| self.expire_if_due(id, out)).min().unwrap_or(Ns::MAX);
     }
 
-    /// Ends a held message past that, or that may not go again; tells when it will be due.
-    fn end_if_hopeless(&mut self, id: MsgId, out: &mut Vec<Action>) -> Ns {
-        let held = &self.messages[&id];
-        let stuck = held.attempts.first().is_some_and(|first| !self.allows(held, Some(first.endpoint)));
-        let at = self.last_call(held);
-        if stuck || at <= self.now {
-            self.give_up(id, out);
+    /// Ends a held message that is past its latest send time or may not be sent again. Returns that time.
+    fn expire_if_due(&mut self, id: MsgId, out: &mut Vec<Action>) -> Ns {
+        let open_message = &self.messages[&id];
+        let not_sendable = open_message
+            .attempts
+            .first()
+            .is_some_and(|first| !self.allows(open_message, Some(first.endpoint)));
+        let latest_send = self.latest_send(open_message);
+        if not_sendable || latest_send <= self.now {
+            self.refuse_or_fail(id, out);
         }
-        at
+        latest_send
     }
 
-    fn give_up(&mut self, id: MsgId, out: &mut Vec<Action>) {
-        let held = &self.messages[&id];
-        out.push(if self.allows(held, None) {
-            Action::Refuse { id, backoff: self.backoff(held.message.dest) }
+    /// Ends a message: it is refused if it may be handed in again, and failed otherwise.
+    fn refuse_or_fail(&mut self, id: MsgId, out: &mut Vec<Action>) {
+        let open_message = &self.messages[&id];
+        out.push(if self.allows(open_message, None) {
+            Action::Refuse { id, backoff: self.backoff(open_message.message.dest) }
         } else {
             Action::Fail { id }
         });
-        self.close(id);
+        self.close_message(id);
     }
 
-    /// When to hand in again what is refused: room comes with the destination's next turn.
+    /// Returns the backoff for a refused message: there is room after the next message of its destination is
+    /// served.
     pub fn backoff(&self, dest: DestId) -> Ns {
-        let turn = self.dests.get(&dest).map_or(0.0, |d| d.turn_every(self.now));
-        (turn as Ns).min(self.cfg.max_retry_after).max(ADMISSION)
+        let interval = self.dests.get(&dest).map_or(0.0, |d| d.service_interval(self.now));
+        (interval as Ns).min(self.settings.max_retry_after).max(MIN_ADMISSION_WAIT)
     }
 
-    /// Past a bound on what is held, refuses what waited longer than the admission wait, least worth first.
-    fn make_room(&mut self, out: &mut Vec<Action>) {
-        let bound = (self.cfg.max_open as f64 * ROOM) as usize;
-        let over = self.open.saturating_sub(bound);
-        if over == 0 {
+    /// Above the shedding threshold, refuses messages that were held for longer than the admission wait, in
+    /// ascending order of their worth.
+    fn shed_load(&mut self, out: &mut Vec<Action>) {
+        let threshold = (self.settings.max_open as f64 * SHED_THRESHOLD) as usize;
+        let excess = self.open_count.saturating_sub(threshold);
+        if excess == 0 {
             return;
         }
         let mut order: Vec<(f64, MsgId)> = Vec::new();
         for dest in self.active.iter().map(|id| &self.dests[id]) {
-            let wait = ADMISSION.max((dest.latency.mean() / 10.0) as Ns);
-            // By its turn, what is far back in a slow queue has little left, whatever its worth: a sick
-            // destination's work must not keep the well ones' out of the room.
-            let every = dest.turn_every(self.now);
-            for (place, &id) in dest.held.iter().enumerate() {
-                let held = &self.messages[&id];
-                if self.now - held.arrived > wait && self.allows(held, None) {
-                    order.push((self.worth(held, self.now + ((place + 1) as f64 * every) as Ns), id));
+            let admission_wait = MIN_ADMISSION_WAIT.max((dest.latency.mean() / 10.0) as Ns);
+            // Worth counts at the time at which the message can expect to be sent, so a message far back in a
+            // slow queue has little left: the work of a failing destination must not take the room of the
+            // others.
+            let interval = dest.service_interval(self.now);
+            for (index, &id) in dest.held.iter().enumerate() {
+                let open_message = &self.messages[&id];
+                if self.now - open_message.accepted_at > admission_wait && self.allows(open_message, None) {
+                    order.push((
+                        self.worth(open_message, self.now + ((index + 1) as f64 * interval) as Ns),
+                        id,
+                    ));
                 }
             }
         }
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        for (_, id) in order.into_iter().take(over) {
-            self.give_up(id, out);
+        for (_, id) in order.into_iter().take(excess) {
+            self.refuse_or_fail(id, out);
         }
     }
 }
 
-/// Fills a token bucket up, and tells when it has a token.
+/// Refills a token bucket and returns when it has a token. `rate` is in tokens per second.
 fn refill(tokens: &mut f64, filled_at: &mut Ns, rate: f64, burst: f64, now: Ns) -> Ns {
-    let passed = (now - *filled_at).max(0) as f64 / 1e9;
-    (*tokens, *filled_at) = ((*tokens + passed * rate).min(burst), now);
+    let elapsed_s = (now - *filled_at).max(0) as f64 / 1e9;
+    (*tokens, *filled_at) = ((*tokens + elapsed_s * rate).min(burst), now);
     if *tokens >= 1.0 {
         now
     } else {
@@ -1044,13 +1276,13 @@
     }
 }
 
-/// The steady rate that holds an aged count at this weight.
-fn per_second(weight: f64) -> f64 {
-    weight * std::f64::consts::LN_2 / (HALF_LIFE / 1e9)
+/// Returns the steady rate, per second, at which a decaying count keeps this weight.
+fn steady_rate(weight: f64) -> f64 {
+    weight * std::f64::consts::LN_2 / (HALF_LIFE_NS / 1e9)
 }
 
-/// For how long what was told of a limit holds: the shortest aim. A share that stays low for longer makes its
-/// messages late, one that does not stay low for as long has the limit used up by asking.
-fn stale(cfg: &Settings) -> Ns {
-    cfg.classes.iter().map(|c| c.latency_target).min().unwrap_or(SECOND).max(1)
+/// Returns how long a reported share of a limit holds: the shortest latency target. A share that stays low
+/// for longer makes messages late; if it recovers sooner, refused calls use up the limit.
+fn report_validity(settings: &Settings) -> Ns {
+    settings.classes.iter().map(|class| class.latency_target).min().unwrap_or(SECOND).max(1)
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,157 +1,235 @@
-//! What a sender remembers: plain records, which pass to the next process in an upgrade. Every decision and
-//! every tuned value is in `policy`.
+//! The state of the policy: plain records, stored by the names of their fields in snapshots and handed over to the
+//! next process in an upgrade. Every decision and every constant is in [`crate::policy`].
 
 use crate::api::*;
-use crate::statistics::{Stat, StatMap, Use};
+use crate::statistics::{DecayingStat, RateMeter, StatMap};
 use crate::stored::StoredDest;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
+/// Earlier than any time of the clock.
 pub const LONG_AGO: Ns = Ns::MIN / 2;
 
+/// One message's part in a call.
 #[derive(Serialize, Deserialize)]
 pub struct Attempt {
     pub endpoint: EndpointId,
     pub zone: usize,
+    /// Key in `Sender::calls`; `u64::MAX` for an attempt of an earlier process.
     pub call: u64,
-    pub sent: Ns,
-    pub out: bool,
+    #[serde(rename = "sent")]
+    pub sent_at: Ns,
+    #[serde(rename = "out")]
+    pub in_flight: bool,
     pub may_have_run: bool,
 }
 
+/// A message that the sender has accepted and that has not ended, or has an attempt in flight.
 #[derive(Serialize, Deserialize)]
-pub struct Held {
+pub struct OpenMessage {
     pub message: Message,
-    pub arrived: Ns,
+    #[serde(rename = "arrived")]
+    pub accepted_at: Ns,
     /// When its client first handed it in.
-    pub born: Ns,
-    pub end: Ns,
+    #[serde(rename = "born")]
+    pub first_handed_in_at: Ns,
+    #[serde(rename = "end")]
+    pub deadline_at: Ns,
     pub attempts: Vec<Attempt>,
-    pub over: bool,
+    /// It needs no further attempt and is kept only for its attempts in flight.
+    #[serde(rename = "over")]
+    pub ended: bool,
 }
 
-impl Held {
-    pub fn out(&self) -> bool {
-        self.attempts.iter().any(|a| a.out)
+impl OpenMessage {
+    /// Returns whether an attempt is in flight.
+    pub fn in_flight(&self) -> bool {
+        self.attempts.iter().any(|a| a.in_flight)
     }
 }
 
-/// One call out: all its messages share one slot and one fate.
+/// A call in flight. Its messages share one slot, and its first outcome counts for its route.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Call {
     pub dest: DestId,
     pub endpoint: EndpointId,
     pub route: RouteId,
-    pub level: usize,
-    pub sent: Ns,
-    pub left: usize,
-    pub judged: bool,
+    /// Calls to the destination that were in flight when this one was sent, with this one, up to the highest cap.
+    #[serde(rename = "level")]
+    pub concurrency: usize,
+    #[serde(rename = "sent")]
+    pub sent_at: Ns,
+    /// Messages whose attempts have not ended.
+    #[serde(rename = "left")]
+    pub pending: usize,
+    /// The outcome of one of its messages has been counted for its route.
+    #[serde(rename = "judged")]
+    pub outcome_counted: bool,
+    /// It has been counted as a failure for taking too long.
     pub overdue: bool,
+    /// A trial call of a half-open route.
     pub trial: bool,
     pub messages: Vec<MsgId>,
     pub cancelled: bool,
 }
 
+/// One endpoint, as the lists describe it and as the calls to it found it.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Endpoint {
     pub dest: DestId,
     pub kind: usize,
     pub zone: usize,
-    /// By the sender's seed; the lowest goes first where all else is equal.
-    pub lot: u32,
-    /// As the list has it.
+    /// Pseudo-random rank from the sender's seed: of otherwise equal endpoints the lowest rank is called first.
+    #[serde(rename = "lot")]
+    pub tie_break: u32,
+    /// The last list has it as ready.
     pub listed: bool,
-    /// Listed, and not taken out by operators.
+    /// It is listed, and operators have not taken it out.
     pub usable: bool,
-    /// When operators put it back: it was restarted meanwhile, and its pace while it is cold is its own.
-    pub back_at: Option<Ns>,
+    /// When operators put it back. It was restarted meanwhile, so it has a slow start of its own.
+    #[serde(rename = "back_at")]
+    pub put_back_at: Option<Ns>,
+    /// Token bucket of that slow start.
     pub tokens: f64,
-    pub filled_at: Ns,
+    #[serde(rename = "filled_at")]
+    pub refilled_at: Ns,
+    /// Calls in flight.
     pub in_flight: usize,
+    /// When a call last started or ended.
     pub used_at: Ns,
-    /// From the call served before to the last one served.
-    pub gap: Ns,
-    /// Most calls seen in flight since the last idle close: about the connections that are warm.
-    pub warm: usize,
+    /// Time between the last two calls that were served.
+    #[serde(rename = "gap")]
+    pub served_interval: Ns,
+    /// Most connections needed at once since the last idle time-out: an estimate of the open ones.
+    #[serde(rename = "warm")]
+    pub open_connections: usize,
     pub served_at: Ns,
+    /// Until this time other endpoints are preferred.
     pub avoid_until: Ns,
 }
 
-/// What shares one limit and one outage: a destination, or one endpoint where routes are separate.
+/// What shares one rate limit and one outage: a destination, or one endpoint where routes are separate.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Route {
-    /// Reported limit in calls a second (0: none), as far as told.
-    pub limit: Option<f64>,
-    pub hint: f64,
-    /// What is taken for the limit where nobody tells one (0: none seen): what this sender had of it.
-    pub learned: f64,
-    /// Calls sent, and those served outside outages.
-    pub sent: Use,
-    pub usual: Use,
+    /// Reported rate limit in calls per second over all senders (0: no limit); `None` until there is a report.
+    #[serde(rename = "limit")]
+    pub reported_limit: Option<f64>,
+    /// Rate limit of the list in calls per second (0: none).
+    #[serde(rename = "hint")]
+    pub listed_limit: f64,
+    /// Estimated limit in calls per second of a route for which neither a report nor a list gives one (0: no sign
+    /// of a limit yet). It is the rate of this sender alone.
+    #[serde(rename = "learned")]
+    pub estimated_limit: f64,
+    /// Rate of the calls sent.
+    #[serde(rename = "sent")]
+    pub sent_rate: RateMeter,
+    /// Rate of the calls served outside outages.
+    #[serde(rename = "usual")]
+    pub usual_rate: RateMeter,
     /// When a call was last refused.
     pub refused_at: Ns,
-    /// This sender's share of the limit when last told (`share_now`).
+    /// This sender's share of the limit at `share_at` (see `Route::current_share`).
     pub share: f64,
     pub share_at: Ns,
-    /// The share when the present run of refusals began.
+    /// The share when the current run of refusals began.
     pub share_before: f64,
+    /// Token bucket of the route.
     pub tokens: f64,
-    pub filled_at: Ns,
-    pub wait_until: Ns,
-    pub not_before: Ns,
+    #[serde(rename = "filled_at")]
+    pub refilled_at: Ns,
+    /// End of the wait that a response asked for.
+    #[serde(rename = "wait_until")]
+    pub retry_after_until: Ns,
+    /// End of the sender's own backoff.
+    #[serde(rename = "not_before")]
+    pub backoff_until: Ns,
+    /// Failures in a row.
     pub failures: u32,
+    /// Refusals in a row, counting those of calls sent together once.
     pub refusals: u32,
-    /// Calls in a row that found all connections taken.
-    pub crowded: u32,
-    pub failing: f64,
-    pub doubt: bool,
-    pub cold: bool,
-    /// Work for it was left by another process, and nothing was served since.
+    /// Calls in a row for which the endpoint had no free connection, counted in the same way.
+    #[serde(rename = "crowded")]
+    pub connection_refusals: u32,
+    /// Exponentially weighted share of calls that failed.
+    #[serde(rename = "failing")]
+    pub failure_share: f64,
+    /// The circuit breaker is half-open: only single trial calls are sent.
+    #[serde(rename = "doubt")]
+    pub half_open: bool,
+    /// It is in an outage or in the slow start after one.
+    #[serde(rename = "cold")]
+    pub slow_start: bool,
+    /// An earlier process left work for it, and no call has been served since.
     pub inherited: bool,
     /// Calls were served between the failures of the outage.
-    pub partial: bool,
-    /// No call was served since the outage was noticed.
-    pub away: bool,
-    /// When it is taken to have come back: between the last failure and the first call served, and until that with
-    /// the failure.
-    pub back_at: Ns,
-    pub next_trial: Ns,
-    pub served: Stat,
+    #[serde(rename = "partial")]
+    pub partial_outage: bool,
+    /// No call has been served since the last sign of an outage.
+    #[serde(rename = "away")]
+    pub down: bool,
+    /// Estimated end of the outage: the last failure until a call is served, then half-way between the last failure
+    /// and the start of that call.
+    #[serde(rename = "back_at")]
+    pub recovered_at: Ns,
+    /// When the next trial call may be sent.
+    #[serde(rename = "next_trial")]
+    pub next_trial_at: Ns,
+    /// Aged count of the calls served.
+    #[serde(rename = "served")]
+    pub served_count: DecayingStat,
+    /// Calls in flight.
     pub in_flight: usize,
 }
 
+/// One destination: its concurrency limit, the messages that wait for it, and what was measured of it.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(from = "StoredDest")]
 pub struct Dest {
+    /// Maximum number of calls in flight.
     pub cap: usize,
+    /// Calls in flight.
     pub in_flight: usize,
+    /// Messages that wait for a call, in ascending order.
     pub held: Vec<MsgId>,
-    pub places: Vec<EndpointId>,
-    /// When work was last out or held for it, as the periodic part has seen it.
+    /// Endpoints of the destination, in ascending order.
+    #[serde(rename = "places")]
+    pub endpoints: Vec<EndpointId>,
+    /// When the periodic work last found calls in flight or held messages.
     pub used_at: Ns,
-    /// When it is looked at next, by `Sender::agenda`.
-    pub look_at: Ns,
-    /// Latency by class and level, arrivals by class, and latency of all calls.
-    pub cells: StatMap<(usize, usize)>,
+    /// When it is considered next: its entry in `Sender::agenda`.
+    #[serde(rename = "look_at")]
+    pub due_at: Ns,
+    /// Latency by class and concurrency.
+    #[serde(rename = "cells")]
+    pub latencies: StatMap<(usize, usize)>,
+    /// Arrivals of messages by class.
     pub arrivals: StatMap<usize>,
-    pub latency: Stat,
-    /// Messages served: the rate at which held ones may expect their turn.
-    pub served: Stat,
-    /// Calls there were held back when it was last looked at for being unused.
+    /// Latency of all calls.
+    pub latency: DecayingStat,
+    /// Aged count of the messages served, for the rate at which held ones may expect their turn.
+    #[serde(rename = "served")]
+    pub served_count: DecayingStat,
+    /// Its state held calls back when it was last considered for removal.
     #[serde(skip)]
     pub restrains: bool,
 }
 
+/// The open messages of one ordering key.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct KeyTurn {
+pub struct KeyQueue {
+    /// Oldest first; only the first may be sent.
     pub queue: VecDeque<MsgId>,
-    pub rest_until: Ns,
+    /// Nothing new is sent until then, as an attempt may still be running.
+    #[serde(rename = "rest_until")]
+    pub quiet_until: Ns,
 }
 
+/// A destination and one of its endpoints, or `EndpointId::MAX` where its endpoints share one route.
 pub type RouteId = (DestId, EndpointId);
-/// A call that may be made: destination, endpoint, messages and worth.
-pub type Plan = (DestId, EndpointId, Vec<MsgId>, f64);
+/// A call that may be made: destination, endpoint, messages, and worth per nanosecond that it holds a slot.
+pub type CallCandidate = (DestId, EndpointId, Vec<MsgId>, f64);
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -1,46 +1,55 @@
-//! What is measured: aged counts with mean and deviation, and rates of use. How fast they age is the policy's.
+//! Exponentially decaying statistics: weighted mean with deviation, and rates of calls. The decay constants are in
+//! [`crate::policy`].
 
 use crate::api::{Ns, SECOND};
-use crate::policy::{HALF_LIFE, USE_SPAN};
+use crate::policy::{HALF_LIFE_NS, RATE_WINDOW_NS};
 use serde::{Deserialize, Serialize};
 use std::ops::RangeInclusive;
 
-/// Aged count, mean and deviation.
+/// Exponentially weighted count, mean and deviation of the values recorded.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
-pub struct Stat {
+pub struct DecayingStat {
+    /// Count of the values, each weighted by its age at `updated_at`.
     weight: f64,
     sum: f64,
-    squares: f64,
-    at: Ns,
+    #[serde(rename = "squares")]
+    sum_of_squares: f64,
+    #[serde(rename = "at")]
+    updated_at: Ns,
 }
 
-impl Stat {
-    pub fn aged(&self, now: Ns) -> f64 {
-        self.weight * (-((now - self.at).max(0) as f64) / HALF_LIFE).exp2()
+impl DecayingStat {
+    /// Returns the weighted count of the values at a time.
+    pub fn weight_at(&self, now: Ns) -> f64 {
+        self.weight * (-((now - self.updated_at).max(0) as f64) / HALF_LIFE_NS).exp2()
     }
-    pub fn book(&mut self, now: Ns, x: f64) {
-        let keep = if self.weight > 0.0 { self.aged(now) / self.weight } else { 0.0 };
-        let (sum, squares) = (self.sum * keep + x, self.squares * keep + x * x);
-        *self = Stat { weight: self.weight * keep + 1.0, sum, squares, at: now };
+    /// Adds a value.
+    pub fn record(&mut self, now: Ns, value: f64) {
+        let keep = if self.weight > 0.0 { self.weight_at(now) / self.weight } else { 0.0 };
+        let (sum, sum_of_squares) = (self.sum * keep + value, self.sum_of_squares * keep + value * value);
+        *self = DecayingStat { weight: self.weight * keep + 1.0, sum, sum_of_squares, updated_at: now };
     }
-    pub fn is_new(&self) -> bool {
+    /// Returns whether no value was recorded.
+    pub fn is_empty(&self) -> bool {
         self.weight <= 0.0
     }
+    /// Returns the weighted mean, or 0 if no value was recorded.
     pub fn mean(&self) -> f64 {
         self.sum / self.weight.max(1e-9)
     }
-    pub fn bound(&self, deviations: f64) -> f64 {
-        let variance = (self.squares / self.weight.max(1e-9) - self.mean() * self.mean()).max(0.0);
+    /// Returns the mean plus a multiple of the standard deviation.
+    pub fn mean_plus_deviations(&self, deviations: f64) -> f64 {
+        let variance = (self.sum_of_squares / self.weight.max(1e-9) - self.mean() * self.mean()).max(0.0);
         self.mean() + deviations * variance.sqrt()
     }
 }
 
-/// Statistics by key, only of those keys that were booked.
+/// Statistics by key. Only keys with recorded values take memory.
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct StatMap<K> {
-    /// In ascending order of their keys.
-    entries: Vec<(K, Stat)>,
+    /// In ascending order of the keys.
+    entries: Vec<(K, DecayingStat)>,
 }
 
 impl<K> Default for StatMap<K> {
@@ -50,62 +59,70 @@
 }
 
 impl<K: Ord + Copy> StatMap<K> {
-    pub fn book(&mut self, key: K, now: Ns, x: f64) {
-        let place = self.entries.binary_search_by_key(&key, |entry| entry.0).unwrap_or_else(|place| {
-            self.entries.insert(place, (key, Stat::default()));
-            place
+    /// Adds a value under a key.
+    pub fn record(&mut self, key: K, now: Ns, value: f64) {
+        let index = self.entries.binary_search_by_key(&key, |entry| entry.0).unwrap_or_else(|index| {
+            self.entries.insert(index, (key, DecayingStat::default()));
+            index
         });
-        self.entries[place].1.book(now, x);
+        self.entries[index].1.record(now, value);
     }
-    /// Those whose keys lie in a range, in ascending order.
-    pub fn range(&self, keys: RangeInclusive<K>) -> &[(K, Stat)] {
+    /// Returns the entries whose keys lie in a range, in ascending order.
+    pub fn range(&self, keys: RangeInclusive<K>) -> &[(K, DecayingStat)] {
         let from = self.entries.partition_point(|entry| entry.0 < *keys.start());
         let to = self.entries.partition_point(|entry| entry.0 <= *keys.end());
         &self.entries[from..to]
     }
-    /// The aged count under a key.
-    pub fn aged(&self, key: K, now: Ns) -> f64 {
-        self.range(key..=key).first().map_or(0.0, |entry| entry.1.aged(now))
+    /// Returns the weighted count of the values under a key.
+    pub fn weight_at(&self, key: K, now: Ns) -> f64 {
+        self.range(key..=key).first().map_or(0.0, |entry| entry.1.weight_at(now))
     }
-    /// Drops those whose aged count is under a bound, and gives their memory back.
-    pub fn drop_under(&mut self, least: f64, now: Ns) {
-        self.entries.retain(|entry| entry.1.aged(now) >= least);
+    /// Drops the entries whose weighted count is below a minimum, and frees their memory.
+    pub fn drop_below(&mut self, min_weight: f64, now: Ns) {
+        self.entries.retain(|entry| entry.1.weight_at(now) >= min_weight);
         self.entries.shrink_to_fit();
     }
 }
 
-impl<K: Ord + Copy> FromIterator<(K, Stat)> for StatMap<K> {
-    fn from_iter<I: IntoIterator<Item = (K, Stat)>>(entries: I) -> StatMap<K> {
-        let mut entries: Vec<(K, Stat)> = entries.into_iter().collect();
+impl<K: Ord + Copy> FromIterator<(K, DecayingStat)> for StatMap<K> {
+    fn from_iter<I: IntoIterator<Item = (K, DecayingStat)>>(entries: I) -> StatMap<K> {
+        let mut entries: Vec<(K, DecayingStat)> = entries.into_iter().collect();
         entries.sort_by_key(|entry| entry.0);
         StatMap { entries }
     }
 }
 
-/// Aged count of calls, and the aged time in which they were seen.
+/// Rate of calls: their exponentially weighted count over the equally weighted time of observation.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
-pub struct Use {
-    pub sum: f64,
-    pub span: f64,
-    pub at: Ns,
+pub struct RateMeter {
+    #[serde(rename = "sum")]
+    pub count: f64,
+    /// In nanoseconds.
+    #[serde(rename = "span")]
+    pub observed_time: f64,
+    #[serde(rename = "at")]
+    pub updated_at: Ns,
 }
 
-impl Use {
-    pub fn since(at: Ns) -> Use {
-        Use { at, ..Use::default() }
+impl RateMeter {
+    /// Creates a meter whose observation begins at a time.
+    pub fn starting_at(updated_at: Ns) -> RateMeter {
+        RateMeter { updated_at, ..RateMeter::default() }
     }
-    pub fn book(&mut self, now: Ns) {
-        self.age(now);
-        self.sum += 1.0;
+    /// Counts a call.
+    pub fn record(&mut self, now: Ns) {
+        self.advance(now);
+        self.count += 1.0;
     }
-    pub fn age(&mut self, now: Ns) {
-        let keep = (-((now - self.at).max(0) as f64) / USE_SPAN).exp();
-        self.sum *= keep;
-        self.span = self.span * keep + USE_SPAN * (1.0 - keep);
-        self.at = now;
+    /// Extends the observation to a time without a call.
+    pub fn advance(&mut self, now: Ns) {
+        let keep = (-((now - self.updated_at).max(0) as f64) / RATE_WINDOW_NS).exp();
+        self.count *= keep;
+        self.observed_time = self.observed_time * keep + RATE_WINDOW_NS * (1.0 - keep);
+        self.updated_at = now;
     }
-    /// Calls a second; what was seen for less than a second counts as seen for one.
+    /// Returns the calls per second; an observation of less than a second counts as one second.
     pub fn rate(&self) -> f64 {
-        self.sum * 1e9 / self.span.max(SECOND as f64)
+        self.count * 1e9 / self.observed_time.max(SECOND as f64)
     }
 }
