--- a/src/api.rs
+++ b/src/api.rs
@@ -89,8 +89,8 @@
     pub tenants: Vec<Tenant>,
     /// Share of the worth of a message beyond its tenant's quota.
     pub over_quota_worth: f64,
-    /// After the latency target the worth halves with each further target's length; otherwise it falls linearly
-    /// to the deadline.
+    /// After the latency target the worth halves with each further target's length; otherwise it falls
+    /// linearly to the deadline.
     pub exponential_decay: bool,
     /// Number of senders in the fleet.
     pub sender_count: usize,
@@ -205,13 +205,15 @@
     NoAnswer,
     /// No connection could be opened.
     NoConnection,
-    /// The endpoint responded that all its connections are in use. It is up, and its rate limit was not involved.
+    /// The endpoint responded that all its connections are in use. It is up, and its rate limit was not
+    /// involved.
     Crowded,
     /// The connection was lost before the response.
     ConnectionLost,
     /// The sender cancelled the call.
     CalledOff,
-    /// The message was not sent, or was not processed for a reason that says nothing about the endpoint's health.
+    /// The message was not sent, or was not processed for a reason that says nothing about the endpoint's
+    /// health.
     NotSent,
     /// The endpoint cannot accept this message: it did not run, and further calls would end in the same way.
     Malformed,
@@ -280,16 +282,17 @@
 pub enum Event {
     /// A list of endpoints. With `whole`, endpoints that are missing from it are gone.
     List { whole: bool, entries: Vec<Entry> },
-    /// The entries of a destination, before a message for it. After the first of these events the policy drops the
-    /// state of destinations that it does not need: the caller looks them up again (see [`crate::on_demand`]).
+    /// The entries of a destination, before a message for it. After the first of these events the policy
+    /// drops the state of destinations that it does not need: the caller looks them up again (see
+    /// [`crate::on_demand`]).
     LookedUp { entries: Vec<Entry> },
     /// A new message.
     Message(Message),
-    /// Operators have taken an endpoint out of use, whatever lists say of it, or have put it back: its slow start
-    /// begins at that time.
+    /// Operators have taken an endpoint out of use, whatever lists say of it, or have put it back: its slow
+    /// start begins at that time.
     Maint { endpoint: EndpointId, out: bool, at: Ns },
-    /// A message that an earlier process of this sender accepted. `past` are its attempts so far; all of them ended
-    /// with that process at the latest.
+    /// A message that an earlier process of this sender accepted. `past` are its attempts so far; all of them
+    /// ended with that process at the latest.
     Resumed { message: Message, past: Vec<PastAttempt> },
     /// An attempt has ended.
     AttemptEnd(AttemptEnd),
@@ -304,8 +307,8 @@
 /// What the policy asks its caller to do. The `Debug` text is compared with recorded decisions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Starts an attempt. Messages that one call to [`crate::policy::Sender::handle`] sends to one endpoint share an
-    /// HTTP call, up to `EndpointKind::max_batch`.
+    /// Starts an attempt. Messages that one call to [`crate::policy::Sender::handle`] sends to one endpoint
+    /// share an HTTP call, up to `EndpointKind::max_batch`.
     Send {
         id: MsgId,
         endpoint: EndpointId,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -2,9 +2,10 @@
 //! [`crate::api`].
 //!
 //! The main rule follows the QoSmax paper. Each destination has a cap on its calls in flight. Every
-//! `CONTROL_PERIOD` it is chosen again as the concurrency that maximises concurrency x share of the classes whose
-//! mean latency + deviation meets their latency target. A message is sent while its destination is below the cap
-//! and is held otherwise; messages that were held too long are refused once `SHED_THRESHOLD` is reached.
+//! `CONTROL_PERIOD` it is chosen again as the concurrency that maximises concurrency x share of the classes
+//! whose mean latency + deviation meets their latency target. A message is sent while its destination is
+//! below the cap and is held otherwise; messages that were held too long are refused once `SHED_THRESHOLD` is
+//! reached.
 //!
 //! Around this rule there are token buckets for rate limits, a circuit breaker and a slow start per route for
 //! outages, and guards that keep the effect, order and deadline of each message.
@@ -19,8 +20,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem::take;
 
-/// Interval of the periodic work: caps are chosen, held messages considered and overdue calls found (the control
-/// rate of the paper).
+/// Interval of the periodic work: caps are chosen, held messages considered and overdue calls found (the
+/// control rate of the paper).
 const CONTROL_PERIOD: Ns = 100 * MS;
 /// The admission wait of the paper: this or 10% of the expected latency, whichever is longer.
 const MIN_ADMISSION_WAIT: Ns = 100 * MS;
@@ -42,8 +43,8 @@
 const FAILURE_SHARE_DECAY: f64 = 0.7;
 /// What a failed call adds to that share.
 const FAILURE_WEIGHT: f64 = 0.3;
-/// Calls in a row that failed, or were refused by a limit that is not reported, after which a route is put in slow
-/// start. It is low because each of many senders sees only a few calls of an outage.
+/// Calls in a row that failed, or were refused by a limit that is not reported, after which a route is put in
+/// slow start. It is low because each of many senders sees only a few calls of an outage.
 const SLOW_START_FAILURES: u32 = 2;
 /// Refusals in a row that count as an outage even where a rate limit might explain them.
 const OUTAGE_REFUSALS: u32 = 4;
@@ -55,8 +56,8 @@
 const OVERLOAD_BUDGET_SHARE: f64 = 0.7;
 /// Share of an approximate listed limit that is used.
 const ROUGH_LIMIT_SHARE: f64 = 0.6;
-/// A call is overdue after its destination's mean latency plus this many deviations. It times out after twice that
-/// time if its messages may be sent again.
+/// A call is overdue after its destination's mean latency plus this many deviations. It times out after twice
+/// that time if its messages may be sent again.
 const OVERDUE_DEVIATIONS: f64 = 3.0;
 /// No call is overdue earlier.
 const MIN_OVERDUE: Ns = 400 * MS;
@@ -91,13 +92,13 @@
 /// Weight of a new report in the exponentially weighted mean of the reported limits.
 const REPORT_WEIGHT: f64 = 0.3;
 
-/// At most this many senders are assumed to have work for a destination at the same time: a share starts as an equal
-/// part among them. With an equal part among all, the work of one sender of a large fleet would be paced to its
-/// deadline although the limit is mostly unused.
+/// At most this many senders are assumed to have work for a destination at the same time: a share starts as
+/// an equal part among them. With an equal part among all, the work of one sender of a large fleet would be
+/// paced to its deadline although the limit is mostly unused.
 const MAX_ACTIVE_SENDERS: usize = 4;
 
-/// A report of unused allowance raises the share by the number of senders to this power, so that the number of
-/// responses from an equal share to the whole limit does not depend on the number of senders.
+/// A report of unused allowance raises the share by the number of senders to this power, so that the number
+/// of responses from an equal share to the whole limit does not depend on the number of senders.
 const SHARE_GROWTH_EXPONENT: f64 = 0.045;
 
 /// Time constant of the rates of calls to a route, in nanoseconds.
@@ -112,7 +113,8 @@
 /// The same after an outage during which calls were served.
 const PARTIAL_RECOVERY_HEADROOM: f64 = 4.0;
 
-/// Lower bound of the calls per second that all senders make together, to notice the recovery of a destination.
+/// Lower bound of the calls per second that all senders make together, to notice the recovery of a
+/// destination.
 const MIN_FLEET_RATE: f64 = 0.15;
 
 impl Route {
@@ -216,7 +218,8 @@
 
 /// Decides for one sender which message is sent to which endpoint and when, or is refused.
 ///
-/// It is stored whole and handed over to the next process in an upgrade, so that every rule continues to hold.
+/// It is stored whole and handed over to the next process in an upgrade, so that every rule continues to
+/// hold.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Sender {
@@ -244,8 +247,8 @@
     key_queues: BTreeMap<u64, KeyQueue>,
     /// Destinations with calls in flight or held messages: the periodic work is done for these only.
     pub(crate) active: BTreeSet<DestId>,
-    /// Destinations with held messages, by the time at which a call may become possible. An event for a destination
-    /// makes it due at once.
+    /// Destinations with held messages, by the time at which a call may become possible. An event for a
+    /// destination makes it due at once.
     agenda: BTreeSet<(Ns, DestId)>,
     /// Trial calls in flight to half-open routes.
     #[serde(rename = "trials")]
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
-//! The state of the policy: plain records, stored by the names of their fields in snapshots and handed over to the
-//! next process in an upgrade. Every decision and every constant is in [`crate::policy`].
+//! The state of the policy: plain records, stored by the names of their fields in snapshots and handed over
+//! to the next process in an upgrade. Every decision and every constant is in [`crate::policy`].
 
 use crate::api::*;
 use crate::statistics::{DecayingStat, RateMeter, StatMap};
@@ -55,7 +55,8 @@
     pub dest: DestId,
     pub endpoint: EndpointId,
     pub route: RouteId,
-    /// Calls to the destination that were in flight when this one was sent, with this one, up to the highest cap.
+    /// Calls to the destination that were in flight when this one was sent, with this one, up to the highest
+    /// cap.
     #[serde(rename = "level")]
     pub concurrency: usize,
     #[serde(rename = "sent")]
@@ -81,7 +82,8 @@
     pub dest: DestId,
     pub kind: usize,
     pub zone: usize,
-    /// Pseudo-random rank from the sender's seed: of otherwise equal endpoints the lowest rank is called first.
+    /// Pseudo-random rank from the sender's seed: of otherwise equal endpoints the lowest rank is called
+    /// first.
     #[serde(rename = "lot")]
     pub tie_break: u32,
     /// The last list has it as ready.
@@ -114,14 +116,15 @@
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Route {
-    /// Reported rate limit in calls per second over all senders (0: no limit); `None` until there is a report.
+    /// Reported rate limit in calls per second over all senders (0: no limit); `None` until there is a
+    /// report.
     #[serde(rename = "limit")]
     pub reported_limit: Option<f64>,
     /// Rate limit of the list in calls per second (0: none).
     #[serde(rename = "hint")]
     pub listed_limit: f64,
-    /// Estimated limit in calls per second of a route for which neither a report nor a list gives one (0: no sign
-    /// of a limit yet). It is the rate of this sender alone.
+    /// Estimated limit in calls per second of a route for which neither a report nor a list gives one (0: no
+    /// sign of a limit yet). It is the rate of this sender alone.
     #[serde(rename = "learned")]
     pub estimated_limit: f64,
     /// Rate of the calls sent.
@@ -171,8 +174,8 @@
     /// No call has been served since the last sign of an outage.
     #[serde(rename = "away")]
     pub down: bool,
-    /// Estimated end of the outage: the last failure until a call is served, then half-way between the last failure
-    /// and the start of that call.
+    /// Estimated end of the outage: the last failure until a call is served, then half-way between the last
+    /// failure and the start of that call.
     #[serde(rename = "back_at")]
     pub recovered_at: Ns,
     /// When the next trial call may be sent.
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -1,5 +1,5 @@
-//! Exponentially decaying statistics: weighted mean with deviation, and rates of calls. The decay constants are in
-//! [`crate::policy`].
+//! Exponentially decaying statistics: weighted mean with deviation, and rates of calls. The decay constants
+//! are in [`crate::policy`].
 
 use crate::api::{Ns, SECOND};
 use crate::policy::{HALF_LIFE_NS, RATE_WINDOW_NS};
--- a/src/stored.rs
+++ b/src/stored.rs
@@ -66,7 +66,8 @@
             latency,
             served_count,
         } = stored;
-        // The latency table has the same number of levels for each class; the table of arrivals has one entry per class.
+        // The latency table has the same number of levels for each class; the table of arrivals has one entry
+        // per class.
         let levels = match (&latencies, &arrivals) {
             (StoredStats::Table(latencies), StoredStats::Table(arrivals)) => {
                 latencies.len() / arrivals.len().max(1)
