--- a/tests/heap/mod.rs
+++ b/tests/heap/mod.rs
@@ -1,4 +1,4 @@
-//! Bytes on the heap that the calling thread has taken and not given back.
+//! Counts the heap bytes that the calling thread has allocated and not freed.
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 
@@ -6,29 +6,32 @@
     static BYTES: Cell<isize> = const { Cell::new(0) };
 }
 
+/// The system allocator with a count of bytes per thread.
 struct Counting;
 
-// All work is the system's allocator's; besides it this adds to a counter that needs no heap.
+// SAFETY: every call is passed to the system allocator; the counter itself needs no heap.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         add(layout.size() as isize);
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, place: *mut u8, layout: Layout) {
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
         add(-(layout.size() as isize));
-        unsafe { System.dealloc(place, layout) }
+        unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
 static COUNTING: Counting = Counting;
 
+/// Adds to the count of this thread.
 fn add(bytes: isize) {
-    // None: the thread is ending.
+    // Fails only while the thread ends.
     let _ = BYTES.try_with(|count| count.set(count.get() + bytes));
 }
 
+/// Returns the number of heap bytes that this thread holds.
 pub fn bytes() -> isize {
     BYTES.with(Cell::get)
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,198 +1,222 @@
-//! Limits that nobody tells: a few to many senders, each alone, at one destination that refuses what is too much.
+//! Rate limits that neither reports nor lists give: one or many independent senders, and one destination that
+//! refuses calls above its limit.
 mod common;
 use common::*;
 use sender::api::*;
 use sender::policy::Sender;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How a destination counts.
+/// How a destination limits its calls.
 #[derive(Clone, Copy)]
-enum Counts {
-    /// So many calls in any span; refused ones count where so stated.
-    Span { span: Ns, refused: bool },
-    /// One call each so often, and a second's worth at once.
-    Rate,
-    /// All are served but in this time, when all are refused.
-    Shut(Ns, Ns),
-    /// All are served.
-    Nothing,
+enum LimitKind {
+    /// At most `limit` calls per second, counted over any `span`; refused calls count if `refused` is set.
+    Window { span: Ns, refused: bool },
+    /// A token bucket with a rate of `limit` and a burst of one second.
+    TokenBucket,
+    /// All calls are refused from the first to the second time, and served otherwise.
+    Outage(Ns, Ns),
+    /// All calls are served.
+    Unlimited,
 }
 
+/// A destination with its limit and the state of the limit.
 struct Destination {
-    counts: Counts,
+    limit_kind: LimitKind,
     limit: f64,
     recent: VecDeque<Ns>,
-    room: f64,
-    at: Ns,
+    tokens: f64,
+    refilled_at: Ns,
 }
 
 impl Destination {
-    fn takes(&mut self, now: Ns) -> bool {
-        match self.counts {
-            Counts::Nothing => true,
-            Counts::Shut(from, to) => !(from..to).contains(&(now - START_TIME)),
-            Counts::Rate => {
-                self.room = (self.room + (now - self.at) as f64 / 1e9 * self.limit).min(self.limit);
-                self.at = now;
-                let taken = self.room >= 1.0;
-                self.room -= f64::from(taken);
-                taken
+    /// Returns whether it serves a call at this time.
+    fn accepts(&mut self, now: Ns) -> bool {
+        match self.limit_kind {
+            LimitKind::Unlimited => true,
+            LimitKind::Outage(from, to) => !(from..to).contains(&(now - START_TIME)),
+            LimitKind::TokenBucket => {
+                self.tokens =
+                    (self.tokens + (now - self.refilled_at) as f64 / 1e9 * self.limit).min(self.limit);
+                self.refilled_at = now;
+                let accepted = self.tokens >= 1.0;
+                self.tokens -= f64::from(accepted);
+                accepted
             }
-            Counts::Span { span, refused } => {
+            LimitKind::Window { span, refused } => {
                 self.recent.retain(|&t| t > now - span);
-                let taken = (self.recent.len() as f64) < self.limit * span as f64 / 1e9;
-                if taken || refused {
+                let accepted = (self.recent.len() as f64) < self.limit * span as f64 / 1e9;
+                if accepted || refused {
                     self.recent.push_back(now);
                 }
-                taken
+                accepted
             }
         }
     }
 }
 
-struct Day {
+/// The calls of all senders that `play` counts.
+struct CallCounts {
     served: usize,
     refused: usize,
-    /// When senders called that had been refused before.
-    again: Vec<Ns>,
+    /// Times of the calls by senders that had been refused before.
+    after_refusal: Vec<Ns>,
 }
 
-/// Every sender has a message in turn, `wanted` a second in all, and as many for the first as for ten others. Counts
-/// what comes after `from`.
-fn play(n: usize, wanted: impl Fn(Ns) -> f64, limit: f64, counts: Counts, span: Ns, from: Ns) -> Day {
-    let mut senders: Vec<Harness> = (0..n as u64)
+/// Plays `span` of time. Messages arrive at `wanted` per second in total; each goes to a random sender, the
+/// first one gets as many as ten others. CallCounts the calls after `from`.
+fn play(
+    sender_count: usize,
+    wanted: impl Fn(Ns) -> f64,
+    limit: f64,
+    limit_kind: LimitKind,
+    span: Ns,
+    from: Ns,
+) -> CallCounts {
+    let mut senders: Vec<Harness> = (0..sender_count as u64)
         .map(|seed| {
-            let cfg = Settings { sender_count: n, max_open: 10_000, ..settings() };
-            let mut stand = Harness { sender: Sender::new(cfg, seed), now: START_TIME, actions: Vec::new() };
-            stand.handle(vec![Event::List { whole: true, entries: vec![entry(1, 1, 0)] }]);
-            stand
+            let cfg = Settings { sender_count, max_open: 10_000, ..settings() };
+            let mut harness =
+                Harness { sender: Sender::new(cfg, seed), now: START_TIME, actions: Vec::new() };
+            harness.handle(vec![Event::List { whole: true, entries: vec![entry(1, 1, 0)] }]);
+            harness
         })
         .collect();
-    let mut there = Destination { counts, limit, recent: VecDeque::new(), room: limit, at: START_TIME };
-    let (mut day, mut next, mut owed, mut random) =
-        (Day { served: 0, refused: 0, again: Vec::new() }, 0, 0.0, 1u64);
-    let mut told = vec![false; n];
+    let mut destination =
+        Destination { limit_kind, limit, recent: VecDeque::new(), tokens: limit, refilled_at: START_TIME };
+    let (mut calls, mut next, mut due_messages, mut random) =
+        (CallCounts { served: 0, refused: 0, after_refusal: Vec::new() }, 0, 0.0, 1u64);
+    let mut was_refused = vec![false; sender_count];
     let mut answers: BTreeMap<(Ns, usize), Vec<Event>> = BTreeMap::new();
     let mut attempts = BTreeMap::<MsgId, u32>::new();
     let mut now = START_TIME;
     while now < START_TIME + span {
         now += 20 * MS;
-        owed += wanted(now - START_TIME) * 0.02;
-        let mut given: Vec<Vec<Event>> = vec![vec![Event::Timer]; n];
-        while owed >= 1.0 {
-            owed -= 1.0;
+        due_messages += wanted(now - START_TIME) * 0.02;
+        let mut events_by_sender: Vec<Vec<Event>> = vec![vec![Event::Timer]; sender_count];
+        while due_messages >= 1.0 {
+            due_messages -= 1.0;
             random = random.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(1);
-            let to = ((random >> 33) as usize % (n + 10)).saturating_sub(10);
-            given[to].push(Event::Message(message(next, 1, 1)));
+            let sender = ((random >> 33) as usize % (sender_count + 10)).saturating_sub(10);
+            events_by_sender[sender].push(Event::Message(message(next, 1, 1)));
             next += 1;
         }
         while let Some(due) = answers.first_entry().filter(|e| e.key().0 <= now) {
-            given[due.key().1].extend(due.remove());
+            events_by_sender[due.key().1].extend(due.remove());
         }
-        for (i, (stand, events)) in senders.iter_mut().zip(given).enumerate() {
-            stand.now = now;
-            for (id, endpoint) in sends(&stand.handle(events)) {
+        for (index, (harness, events)) in senders.iter_mut().zip(events_by_sender).enumerate() {
+            harness.now = now;
+            for (id, endpoint) in sends(&harness.handle(events)) {
                 let attempt = attempts.entry(id).or_default();
-                let taken = there.takes(now);
-                if told[i] {
-                    day.again.push(now - START_TIME);
+                let accepted = destination.accepts(now);
+                if was_refused[index] {
+                    calls.after_refusal.push(now - START_TIME);
                 }
-                told[i] |= !taken;
-                let outcome = if taken { Outcome::Served } else { Outcome::TurnedAway };
+                was_refused[index] |= !accepted;
+                let outcome = if accepted { Outcome::Served } else { Outcome::TurnedAway };
                 if now - START_TIME >= from {
-                    day.served += usize::from(taken);
-                    day.refused += usize::from(!taken);
+                    calls.served += usize::from(accepted);
+                    calls.refused += usize::from(!accepted);
                 }
-                let after = AttemptEnd { took: 80 * MS, ..attempt_end(id, *attempt, endpoint, outcome) };
-                answers.entry((now + 80 * MS, i)).or_default().push(Event::AttemptEnd(after));
+                let end_of_call =
+                    AttemptEnd { took: 80 * MS, ..attempt_end(id, *attempt, endpoint, outcome) };
+                answers.entry((now + 80 * MS, index)).or_default().push(Event::AttemptEnd(end_of_call));
                 *attempt += 1;
             }
         }
     }
-    day
+    calls
 }
 
 #[test]
-fn a_limit_that_nobody_tells_is_used_and_not_used_up_by_refused_calls() {
-    // What of the limit is used at least, and what part of the calls is refused at most, by 1, 3 and 40 senders. By a
-    // count that refused calls are in, more calls than it takes leave none served.
-    let forms = [
-        ("a rate", Counts::Rate, [(0.9, 0.2), (0.9, 0.2), (0.9, 0.4)]),
-        ("a count", Counts::Span { span: SECOND, refused: false }, [(0.7, 0.2), (0.7, 0.2), (0.7, 0.45)]),
+fn unreported_limit_is_used_and_not_used_up_by_refusals() {
+    // Minimum share of the limit in use and maximum share of refused calls, for 1, 3 and 40 senders. Where
+    // refused calls count for the limit, more calls than it allows leave none served.
+    let kinds = [
+        ("a rate", LimitKind::TokenBucket, [(0.9, 0.2), (0.9, 0.2), (0.9, 0.4)]),
+        (
+            "a count",
+            LimitKind::Window { span: SECOND, refused: false },
+            [(0.7, 0.2), (0.7, 0.2), (0.7, 0.45)],
+        ),
         (
             "refused too",
-            Counts::Span { span: 2 * SECOND, refused: true },
+            LimitKind::Window { span: 2 * SECOND, refused: true },
             [(0.7, 0.2), (0.6, 0.2), (0.35, 0.65)],
         ),
     ];
-    for (name, counts, bounds) in forms {
-        for (n, (least_used, most_refused)) in [1, 3, 40].into_iter().zip(bounds) {
+    for (name, limit_kind, bounds) in kinds {
+        for (senders, (min_used, max_refused)) in [1, 3, 40].into_iter().zip(bounds) {
             let limit = 8.0;
-            // Half as much again as it takes.
-            let day = play(n, |_| 1.5 * limit, limit, counts, 60 * SECOND, 20 * SECOND);
-            let used = day.served as f64 / (limit * 40.0);
-            let refused = day.refused as f64 / (day.served + day.refused) as f64;
-            assert!(used > least_used, "{n} senders, {name}: {used:.2} of the limit in use");
-            assert!(refused < most_refused, "{n} senders, {name}: {refused:.2} of the calls refused");
+            // One and a half times the limit.
+            let calls = play(senders, |_| 1.5 * limit, limit, limit_kind, 60 * SECOND, 20 * SECOND);
+            let used = calls.served as f64 / (limit * 40.0);
+            let refused = calls.refused as f64 / (calls.served + calls.refused) as f64;
+            assert!(used > min_used, "{senders} senders, {name}: {used:.2} of the limit in use");
+            assert!(refused < max_refused, "{senders} senders, {name}: {refused:.2} of the calls refused");
         }
     }
 }
 
 #[test]
-fn no_limit_seen_is_no_pace() {
-    let day = play(3, |_| 40.0, 0.0, Counts::Nothing, 20 * SECOND, 2 * SECOND);
-    assert!(day.served as f64 > 0.97 * 40.0 * 18.0, "{} served", day.served);
+fn calls_are_not_paced_without_a_limit() {
+    let calls = play(3, |_| 40.0, 0.0, LimitKind::Unlimited, 20 * SECOND, 2 * SECOND);
+    assert!(calls.served as f64 > 0.97 * 40.0 * 18.0, "{} served", calls.served);
 }
 
 #[test]
-fn calls_that_find_all_connections_taken_are_no_sign_of_an_outage() {
-    let doubted = |outcome| {
-        let mut s = Harness::new(settings(), &[entry(1, 1, 0)]);
-        s.handle((0..9).map(|i| Event::Message(message(i, 1, 1))).collect());
-        s.now += 50 * MS;
+fn exhausted_connections_are_no_outage() {
+    let is_half_open = |outcome| {
+        let mut harness = Harness::new(settings(), &[entry(1, 1, 0)]);
+        harness.handle((0..9).map(|i| Event::Message(message(i, 1, 1))).collect());
+        harness.now += 50 * MS;
         for id in 0..9 {
-            s.end_attempt(AttemptEnd { took: 50 * MS, done: true, ..attempt_end(id, 0, 1, outcome) });
+            harness.end_attempt(AttemptEnd { took: 50 * MS, done: true, ..attempt_end(id, 0, 1, outcome) });
         }
-        s.handle((20..24).map(|i| Event::Message(message(i, 1, 1))).collect());
-        sends(&without_times(&s.advance(2 * SECOND))).len() < 2
+        harness.handle((20..24).map(|i| Event::Message(message(i, 1, 1))).collect());
+        sends(&without_times(&harness.advance(2 * SECOND))).len() < 2
     };
-    assert!(doubted(Outcome::NoConnection), "single spaced trials");
-    assert!(!doubted(Outcome::Crowded), "it is up");
+    assert!(is_half_open(Outcome::NoConnection), "only spaced trial calls");
+    assert!(!is_half_open(Outcome::Crowded), "the destination is up");
 }
 
 #[test]
-fn a_connection_is_kept_for_calls_that_are_served_often_not_for_such_as_are_tried_often() {
-    let many = Settings { sender_count: 300, ..settings() };
-    let mut s = Harness::new(many, &[entry(1, 1, 0)]);
-    s.handle((0..2).map(|i| Event::Message(message(i, 1, 1))).collect());
+fn keeps_connections_only_for_frequently_served_calls() {
+    let large_fleet = Settings { sender_count: 300, ..settings() };
+    let mut harness = Harness::new(large_fleet, &[entry(1, 1, 0)]);
+    harness.handle((0..2).map(|i| Event::Message(message(i, 1, 1))).collect());
     let (mut attempt, mut closed) = (0, false);
     for n in 0..4 {
-        s.now += 50 * MS;
+        harness.now += 50 * MS;
         let outcome = if n == 3 { Outcome::Served } else { Outcome::Crowded };
-        closed = s.end_attempt(attempt_end(0, attempt, 1, outcome)).contains(&Action::Close { endpoint: 1 });
+        closed =
+            harness.end_attempt(attempt_end(0, attempt, 1, outcome)).contains(&Action::Close { endpoint: 1 });
         attempt += 1;
-        while n < 3 && !sends(&s.handle(vec![Event::Timer])).contains(&(0, 1)) {
-            s.now += 5 * MS;
+        while n < 3 && !sends(&harness.handle(vec![Event::Timer])).contains(&(0, 1)) {
+            harness.now += 5 * MS;
         }
     }
-    assert!(closed, "its place is free for the others");
+    assert!(closed, "the connection is free for other senders");
 }
 
 #[test]
-fn hundreds_of_senders_that_saw_a_call_or_two_refused_keep_the_budget_of_the_return_together() {
-    let (shut, back) = (5 * SECOND, 14 * SECOND);
+fn large_fleet_after_few_refusals_keeps_slow_start_budget() {
+    let (outage_at, recovered_at) = (5 * SECOND, 14 * SECOND);
     let usual = 45.0;
-    // Clients come again, and restarted senders with what they owe.
+    // Clients retry, and restarted senders resume their messages.
     let wanted = |t| if t < 10 * SECOND { usual } else { 6.0 * usual };
-    let day = play(300, wanted, 0.0, Counts::Shut(shut, back), 24 * SECOND, back);
-    // It can do no more than it usually does, and a fifth of that at first; all within 10 s.
+    let calls = play(300, wanted, 0.0, LimitKind::Outage(outage_at, recovered_at), 24 * SECOND, recovered_at);
+    // Its capacity is its usual rate, with a fifth of it at first and all of it after 10 s.
     let capacity = usual;
-    for from in (0..8).map(|i| back + i * SECOND) {
-        let sent = day.again.iter().filter(|&&t| t >= from && t < from + 2 * SECOND).count() as f64;
-        let able = 0.2 + 0.8 * ((from + SECOND - back) as f64 / 10e9);
-        let budget = 2.0 * able * capacity * 2.0;
-        let most = budget + 3.0 * budget.sqrt() + 3.0;
-        assert!(sent <= most, "{sent} calls in the 2 s from {} s, at most {most:.0}", from / SECOND);
+    for from in (0..8).map(|i| recovered_at + i * SECOND) {
+        let sent = calls.after_refusal.iter().filter(|&&t| t >= from && t < from + 2 * SECOND).count() as f64;
+        let capacity_share = 0.2 + 0.8 * ((from + SECOND - recovered_at) as f64 / 10e9);
+        let budget = 2.0 * capacity_share * capacity * 2.0;
+        let max_sent = budget + 3.0 * budget.sqrt() + 3.0;
+        assert!(sent <= max_sent, "{sent} calls in the 2 s from {} s, at most {max_sent:.0}", from / SECOND);
     }
-    assert!(day.served as f64 > 0.5 * usual * 10.0, "the return is used: {} served", day.served);
+    assert!(
+        calls.served as f64 > 0.5 * usual * 10.0,
+        "the recovered capacity is used: {} served",
+        calls.served
+    );
 }
--- a/tests/returns.rs
+++ b/tests/returns.rs
@@ -1,44 +1,49 @@
-//! Cold returns under the sum of all senders: a few to many of them, uneven, each alone, at one destination that was
-//! away and comes back at a part of what it can do.
+//! Slow start under the calls of all senders together: small to large fleets of independent senders with
+//! uneven load, and one destination that recovers from an outage with a part of its capacity.
 mod common;
 use common::*;
 use sender::api::*;
 use sender::policy::Sender;
 use std::collections::BTreeMap;
 
-/// How calls fail while it is away.
+/// How calls fail during the outage.
 #[derive(Clone, Copy, Debug)]
-enum Away {
-    /// No connection comes up.
-    Down,
-    /// Nothing is answered.
+enum OutageKind {
+    /// No connection can be opened.
+    NoConnections,
+    /// Calls get no response.
     Silent,
-    /// Each call is answered with an error.
+    /// Each call gets an error response.
     Errors,
-    /// Each call is refused without a wait.
-    Shut,
+    /// Each call is refused without a requested wait.
+    Refusals,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
     senders: usize,
-    /// Calls a second that it usually gets: four fifths of its limit, which is five sixths of what it can do.
-    usual: f64,
-    /// Whether the list tells the limit.
-    told: bool,
-    away: Away,
-    /// Share of the senders that start anew, with nothing learned, two seconds before the return.
+    /// Calls per second that the destination usually gets: four fifths of its limit, which is five sixths of
+    /// its capacity.
+    usual_rate: f64,
+    /// Whether the list gives the limit.
+    has_listed_limit: bool,
+    outage: OutageKind,
+    /// Share of the senders that restart without learned state two seconds before the recovery.
     restarted: f64,
     seed: u64,
 }
 
-const AWAY: Ns = 8 * SECOND;
-const BACK: Ns = 20 * SECOND;
+/// Start of the outage, from the start of the play.
+const OUTAGE_START: Ns = 8 * SECOND;
+/// End of the outage.
+const RECOVERY: Ns = 20 * SECOND;
+/// End of the play.
 const END: Ns = 34 * SECOND;
 
-/// When calls reached it after it was back, and whether their sender had seen one fail there.
+/// Plays a case. Returns the times of the calls after the recovery, and whether their senders had seen a call
+/// fail during the outage.
 fn play(case: Case, cfg: &Settings) -> Vec<(Ns, bool)> {
-    let n = case.senders;
+    let sender_count = case.senders;
     let mut random = case.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut draw = move || {
         random ^= random << 13;
@@ -46,83 +51,86 @@
         random ^= random << 17;
         (random >> 11) as f64 / (1u64 << 53) as f64
     };
-    let rate_hint = if case.told { case.usual * 1.25 } else { 0.0 };
+    let rate_hint = if case.has_listed_limit { case.usual_rate * 1.25 } else { 0.0 };
     let listed = Event::List { whole: true, entries: vec![Entry { rate_hint, ..entry(1, 1, 0) }] };
-    let begin = |seed: u64, now: Ns| {
-        let mut stand = Harness { sender: Sender::new(cfg.clone(), seed), now, actions: Vec::new() };
-        stand.handle(vec![listed.clone()]);
-        stand
+    let start_sender = |seed: u64, now: Ns| {
+        let mut harness = Harness { sender: Sender::new(cfg.clone(), seed), now, actions: Vec::new() };
+        harness.handle(vec![listed.clone()]);
+        harness
     };
-    let mut senders: Vec<Harness> = (0..n as u64).map(|i| begin(case.seed * 1_000 + i, START_TIME)).collect();
-    // Some have several times the mean.
-    let weights: Vec<f64> = (0..n).map(|_| 0.2 - 1.4 * draw().max(1e-3).ln()).collect();
-    let all: f64 = weights.iter().sum();
-    let restarts: Vec<bool> = (0..n).map(|_| draw() < case.restarted).collect();
-    let mut seen = vec![false; n];
-    let mut lives = vec![0u64; n];
+    let mut senders: Vec<Harness> =
+        (0..sender_count as u64).map(|index| start_sender(case.seed * 1_000 + index, START_TIME)).collect();
+    // Some senders have several times the mean load.
+    let weights: Vec<f64> = (0..sender_count).map(|_| 0.2 - 1.4 * draw().max(1e-3).ln()).collect();
+    let total_weight: f64 = weights.iter().sum();
+    let restarts: Vec<bool> = (0..sender_count).map(|_| draw() < case.restarted).collect();
+    let mut saw_failure = vec![false; sender_count];
+    let mut lives = vec![0u64; sender_count];
     let mut answers: BTreeMap<(Ns, u64), (usize, u64, AttemptEnd)> = BTreeMap::new();
     let mut attempts = BTreeMap::<MsgId, u32>::new();
-    // Each sender's messages that have no end yet, for the restart.
-    let mut held: Vec<BTreeMap<MsgId, (Message, Ns)>> = vec![BTreeMap::new(); n];
+    // Open messages of each sender, for the restart.
+    let mut held: Vec<BTreeMap<MsgId, (Message, Ns)>> = vec![BTreeMap::new(); sender_count];
     let mut calls = Vec::new();
-    let (mut next, mut now) = (0, START_TIME);
+    let (mut next_id, mut now) = (0, START_TIME);
     while now < START_TIME + END {
         now += 20 * MS;
-        let at = now - START_TIME;
-        let mut given: Vec<Vec<Event>> = vec![vec![Event::Timer]; n];
-        for i in 0..n {
-            if restarts[i] && at == BACK - 2 * SECOND {
-                senders[i] = begin(case.seed * 77_000 + i as u64, now);
-                (seen[i], lives[i]) = (false, 1);
-                for (&id, &(message, end)) in held[i].iter().filter(|(_, (_, end))| *end > now) {
+        let elapsed = now - START_TIME;
+        let mut events_by_sender: Vec<Vec<Event>> = vec![vec![Event::Timer]; sender_count];
+        for index in 0..sender_count {
+            if restarts[index] && elapsed == RECOVERY - 2 * SECOND {
+                senders[index] = start_sender(case.seed * 77_000 + index as u64, now);
+                (saw_failure[index], lives[index]) = (false, 1);
+                for (&id, &(message, end)) in held[index].iter().filter(|(_, (_, end))| *end > now) {
                     let count = attempts.get(&id).copied().unwrap_or(0);
                     let past = PastAttempt { endpoint: Some(1), sent: now - SECOND, may_have_run: true };
                     let message = Message { time_left: end - now, ..message };
-                    given[i].push(Event::Resumed { message, past: vec![past; count as usize] });
+                    events_by_sender[index]
+                        .push(Event::Resumed { message, past: vec![past; count as usize] });
                 }
             }
-            if draw() < case.usual * weights[i] / all * 0.02 {
-                let message = message(next, 1, 1);
-                given[i].push(Event::Message(message));
-                held[i].insert(next, (message, now + message.time_left));
-                next += 1;
+            if draw() < case.usual_rate * weights[index] / total_weight * 0.02 {
+                let message = message(next_id, 1, 1);
+                events_by_sender[index].push(Event::Message(message));
+                held[index].insert(next_id, (message, now + message.time_left));
+                next_id += 1;
             }
         }
         while let Some(due) = answers.first_entry().filter(|e| e.key().0 <= now) {
-            let (i, life, end) = due.remove();
-            if life == lives[i] {
-                // Only what is learned while it is away tells that it comes back cold.
-                seen[i] |= end.outcome != Outcome::Served && at < BACK;
-                given[i].push(Event::AttemptEnd(end));
+            let (index, sender_life, end) = due.remove();
+            if sender_life == lives[index] {
+                // Only a failure during the outage tells the sender of the slow start to come.
+                saw_failure[index] |= end.outcome != Outcome::Served && elapsed < RECOVERY;
+                events_by_sender[index].push(Event::AttemptEnd(end));
             }
         }
-        for (i, (stand, events)) in senders.iter_mut().zip(given).enumerate() {
-            stand.now = now;
-            let actions = stand.handle(events);
+        for (index, (harness, events)) in senders.iter_mut().zip(events_by_sender).enumerate() {
+            harness.now = now;
+            let actions = harness.handle(events);
             for action in &actions {
                 match *action {
-                    Action::Refuse { id, .. } | Action::Fail { id } => _ = held[i].remove(&id),
+                    Action::Refuse { id, .. } | Action::Fail { id } => _ = held[index].remove(&id),
                     Action::Send { id, endpoint, limit, .. } => {
                         let attempt = attempts.entry(id).or_default();
-                        let away = (AWAY..BACK).contains(&at);
-                        let (outcome, took) = match (away, case.away) {
+                        let outage = (OUTAGE_START..RECOVERY).contains(&elapsed);
+                        let (outcome, took) = match (outage, case.outage) {
                             (false, _) => (Outcome::Served, 120 * MS),
-                            (_, Away::Down) => (Outcome::NoConnection, 10 * MS),
-                            (_, Away::Errors) => (Outcome::ServerError, 40 * MS),
-                            (_, Away::Shut) => (Outcome::TurnedAway, 20 * MS),
-                            (_, Away::Silent) => {
-                                let left = held[i].get(&id).map_or(0, |(_, end)| end - now).max(0);
-                                (Outcome::NoAnswer, if limit > 0 { limit.min(left) } else { left })
+                            (_, OutageKind::NoConnections) => (Outcome::NoConnection, 10 * MS),
+                            (_, OutageKind::Errors) => (Outcome::ServerError, 40 * MS),
+                            (_, OutageKind::Refusals) => (Outcome::TurnedAway, 20 * MS),
+                            (_, OutageKind::Silent) => {
+                                let time_left = held[index].get(&id).map_or(0, |(_, end)| end - now).max(0);
+                                (Outcome::NoAnswer, if limit > 0 { limit.min(time_left) } else { time_left })
                             }
                         };
-                        if at >= BACK {
-                            calls.push((at, seen[i]));
-                            held[i].remove(&id);
+                        if elapsed >= RECOVERY {
+                            calls.push((elapsed, saw_failure[index]));
+                            held[index].remove(&id);
                         }
-                        let after = AttemptEnd { took, ..attempt_end(id, *attempt, endpoint, outcome) };
-                        let key = (now + took, next * 16 + u64::from(*attempt));
+                        let end_of_attempt =
+                            AttemptEnd { took, ..attempt_end(id, *attempt, endpoint, outcome) };
+                        let key = (now + took, next_id * 16 + u64::from(*attempt));
                         let key = (key.0, key.1 * 1_000_000 + id);
-                        answers.insert(key, (i, lives[i], after));
+                        answers.insert(key, (index, lives[index], end_of_attempt));
                         *attempt += 1;
                     }
                     _ => {}
@@ -133,67 +141,72 @@
     calls
 }
 
-/// The largest excess of calls in a window of the settings' length over N + 2 root N + 2, and the calls in it.
+/// Returns the window with the largest excess of calls over N + 2 sqrt(N) + 2, where N is the budget of the
+/// window: the excess, the calls and N.
 fn worst(case: Case, cfg: &Settings, calls: &[(Ns, bool)]) -> (f64, f64, f64) {
-    let span = cfg.overload_duration;
+    let window = cfg.overload_duration;
     let (mut worst, mut first) = ((f64::MIN, 0.0, 0.0), 0);
-    // Once it is warm it does not fall any more.
-    let cold = |c: &&(Ns, bool)| c.1 && c.0 <= BACK + cfg.slow_start_window;
-    let calls: Vec<Ns> = calls.iter().filter(cold).map(|c| c.0).collect();
+    // After the slow start the destination cannot be overloaded.
+    let in_slow_start = |call: &&(Ns, bool)| call.1 && call.0 <= RECOVERY + cfg.slow_start_window;
+    let calls: Vec<Ns> = calls.iter().filter(in_slow_start).map(|call| call.0).collect();
     for (last, &at) in calls.iter().enumerate() {
-        while calls[first] <= at - span {
+        while calls[first] <= at - window {
             first += 1;
         }
-        // What it can do in the mean of the window that ends with this call.
-        let middle = (at - span / 2 - BACK).max(0) as f64 / cfg.slow_start_window as f64;
-        let able = cfg.slow_start_capacity + (1.0 - cfg.slow_start_capacity) * middle.min(1.0);
-        let n = cfg.overload_factor * able * case.usual * 1.5 * span as f64 / 1e9;
+        // Mean capacity over the window that ends with this call.
+        let middle = (at - window / 2 - RECOVERY).max(0) as f64 / cfg.slow_start_window as f64;
+        let capacity_share = cfg.slow_start_capacity + (1.0 - cfg.slow_start_capacity) * middle.min(1.0);
+        let budget = cfg.overload_factor * capacity_share * case.usual_rate * 1.5 * window as f64 / 1e9;
         let sent = (last + 1 - first) as f64;
-        let over = sent - (n + 2.0 * n.sqrt() + 2.0);
-        if over > worst.0 {
-            worst = (over, sent, n);
+        let excess = sent - (budget + 2.0 * budget.sqrt() + 2.0);
+        if excess > worst.0 {
+            worst = (excess, sent, budget);
         }
     }
     worst
 }
 
-/// Plays all cases of a kind; every one whose calls exceed the budget of some window.
-fn over_budget(told: bool, restarted: f64) -> Vec<String> {
-    let mut bad = Vec::new();
+/// Plays all cases of a kind and returns those that exceed the budget in some window.
+fn over_budget(has_listed_limit: bool, restarted: f64) -> Vec<String> {
+    let mut failures = Vec::new();
     for senders in [5, 20, 30, 300] {
-        for usual in [2.5, 8.0, 40.0] {
-            for away in [Away::Down, Away::Silent, Away::Errors, Away::Shut] {
+        for usual_rate in [2.5, 8.0, 40.0] {
+            for outage in
+                [OutageKind::NoConnections, OutageKind::Silent, OutageKind::Errors, OutageKind::Refusals]
+            {
                 for seed in [1, 2] {
-                    let case = Case { senders, usual, told, away, restarted, seed };
-                    let more = Settings { max_open: 10_000, ..settings() };
-                    let cfg = Settings { sender_count: senders, rate_hints: told, ..more };
+                    let case = Case { senders, usual_rate, has_listed_limit, outage, restarted, seed };
+                    let base = Settings { max_open: 10_000, ..settings() };
+                    let cfg = Settings { sender_count: senders, rate_hints: has_listed_limit, ..base };
                     let calls = play(case, &cfg);
-                    assert!(!calls.is_empty(), "{case:?}: the return is not noticed");
-                    let (over, sent, n) = worst(case, &cfg, &calls);
-                    if over > 0.0 {
-                        bad.push(format!("{case:?}: {sent} calls where N is {n:.1}, {over:.1} too many"));
+                    assert!(!calls.is_empty(), "{case:?}: no call after the recovery");
+                    let (excess, sent, budget) = worst(case, &cfg, &calls);
+                    if excess > 0.0 {
+                        failures.push(format!(
+                            "{case:?}: {sent} calls with a budget of {budget:.1}, {excess:.1} too many"
+                        ));
                     }
                 }
             }
         }
     }
-    bad
+    failures
 }
 
 #[test]
-fn under_limits_that_are_told_a_fleet_keeps_the_budget_of_a_cold_return() {
-    let bad = over_budget(true, 0.0);
-    assert!(bad.is_empty(), "{} of 96 cases:\n{}", bad.len(), bad.join("\n"));
+fn fleet_with_listed_limit_keeps_slow_start_budget() {
+    let failures = over_budget(true, 0.0);
+    assert!(failures.is_empty(), "{} of 96 cases:\n{}", failures.len(), failures.join("\n"));
 }
 
 #[test]
-fn a_fleet_restarted_in_the_outage_keeps_the_budget_of_a_cold_return() {
-    let bad = over_budget(true, 0.7);
-    assert!(bad.is_empty(), "{} of 96 cases:\n{}", bad.len(), bad.join("\n"));
+fn fleet_restarted_in_outage_keeps_slow_start_budget() {
+    let failures = over_budget(true, 0.7);
+    assert!(failures.is_empty(), "{} of 96 cases:\n{}", failures.len(), failures.join("\n"));
 }
 
 #[test]
-fn under_limits_that_nobody_tells_a_fleet_keeps_the_budget_of_a_cold_return() {
-    let bad = over_budget(false, 0.0);
-    assert!(bad.is_empty(), "{} of 96 cases:\n{}", bad.len(), bad.join("\n"));
+fn fleet_with_unknown_limit_keeps_slow_start_budget() {
+    let failures = over_budget(false, 0.0);
+    assert!(failures.is_empty(), "{} of 96 cases:\n{}", failures.len(), failures.join("\n"));
 }
