--- a/src/api.rs
+++ b/src/api.rs
@@ -296,7 +296,7 @@
     Resumed { message: Message, past: Vec<PastAttempt> },
     /// An attempt has ended.
     AttemptEnd(AttemptEnd),
-    /// The sender no longer has to deliver the message.
+    /// The message is withdrawn: the sender no longer has to deliver it.
     Withdrawn { id: MsgId },
     /// The result of an [`Action::Probe`].
     Probed { endpoint: EndpointId, outcome: Outcome, report: Option<LimitReport> },
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -33,6 +33,21 @@
 const MIN_WEIGHT: f64 = 0.15;
 /// Weighted count below which a statistic is dropped: the next value would outweigh it by far.
 const NEGLIGIBLE_WEIGHT: f64 = 1e-6;
+/// The duration of a call counts up to this multiple of the time after which it is overdue.
+const LATENCY_BOUND_FACTOR: f64 = 1.5;
+/// Lower bound of the messages served per second from which a message's turn is estimated.
+const MIN_SERVICE_RATE: f64 = 0.1;
+/// Bounds of the time in which a queue is expected to be served.
+const MIN_QUEUE_TIME: Ns = SECOND;
+const MAX_QUEUE_TIME: Ns = 30 * SECOND;
+/// Time that a message must have left for another attempt if its call is cancelled early.
+const MIN_RESEND_TIME: Ns = SECOND;
+/// Shortest time between trial calls of a half-open route.
+const MIN_TRIAL_INTERVAL: Ns = 500 * MS;
+/// Longest time between trial calls of a half-open route, per sender of the fleet.
+const MAX_TRIAL_INTERVAL_PER_SENDER: Ns = SECOND;
+/// Subtracted from the urgency of an unsafe message on a half-open route, so that it is sent last.
+const UNSAFE_TRIAL_PENALTY: f64 = 1e6;
 /// Share of the slots that trial calls to all half-open routes may hold together.
 const HALF_OPEN_SLOT_SHARE: f64 = 0.25;
 /// Failures in a row that make a route half-open.
@@ -85,13 +100,26 @@
 const SHARE_GROWTH: f64 = 1.01;
 /// Factor by which a refusal lowers the share.
 const REFUSAL_SHARE_FACTOR: f64 = 0.8;
+/// Lower bound of the share after a refusal, as a part of an equal share among all senders.
+const REFUSAL_SHARE_FLOOR: f64 = 0.5;
+/// Longest time after a refusal for which the share does not grow, in nanoseconds.
+const MAX_SHARE_PAUSE_NS: f64 = 30e9;
 /// Above this unused share of the allowance a report raises the share of the sender.
 const AMPLE_ALLOWANCE: f64 = 0.5;
 /// Below this unused share of the allowance a report lowers the share of the sender.
 const SCANT_ALLOWANCE: f64 = 0.2;
+/// Factor by which such a report lowers the share.
+const SCANT_SHARE_FACTOR: f64 = 0.95;
+/// Lower bound of the share after such a report, as a part of an equal share among all senders.
+const SCANT_SHARE_FLOOR: f64 = 0.7;
 /// Weight of a new report in the exponentially weighted mean of the reported limits.
 const REPORT_WEIGHT: f64 = 0.3;
 
+/// Burst of a route's token bucket: the calls of this many seconds at its rate.
+const BURST_TIME_S: f64 = 0.4;
+/// Maximum of that burst, in calls.
+const MAX_BURST: f64 = 4.0;
+
 /// At most this many senders are assumed to have work for a destination at the same time: a share starts as
 /// an equal part among them. With an equal part among all, the work of one sender of a large fleet would be
 /// paced to its deadline although the limit is mostly unused.
@@ -178,7 +206,7 @@
             // calls would use up the limit long before their shares came down to it.
             share = share
                 .min((steady_rate(self.served_count.weight_at(now)) / self.known_limit()).max(1.0 / senders));
-            self.share = (share * REFUSAL_SHARE_FACTOR).max(0.5 / senders);
+            self.share = (share * REFUSAL_SHARE_FACTOR).max(REFUSAL_SHARE_FLOOR / senders);
         } else {
             let factor = if new_estimate || !fresh { 1.0 } else { REFUSAL_SHARE_FACTOR };
             self.share = (share * factor).max(MIN_FLEET_RATE / senders / self.estimated_limit);
@@ -191,7 +219,7 @@
         }
         // The share does not grow during the pause before the next call. Otherwise all senders would return
         // to their old shares in that pause and use up the limit by refused calls.
-        self.share_at = now + (1e9 / (self.effective_limit() * self.share)).min(30e9) as Ns;
+        self.share_at = now + (1e9 / (self.effective_limit() * self.share)).min(MAX_SHARE_PAUSE_NS) as Ns;
         fresh
     }
     /// Notes a failure or refusal that is a sign of an outage: slow start begins anew.
@@ -212,7 +240,7 @@
 impl Dest {
     /// Returns the mean time between two served messages, in nanoseconds.
     fn service_interval(&self, now: Ns) -> f64 {
-        1e9 / steady_rate(self.served_count.weight_at(now)).max(0.1)
+        1e9 / steady_rate(self.served_count.weight_at(now)).max(MIN_SERVICE_RATE)
     }
 }
 
@@ -562,8 +590,9 @@
                 // known to be at least this.
                 Outcome::Served | Outcome::NoAnswer | Outcome::CalledOff => {
                     let measured = dest.latency.weight_at(now) >= MIN_WEIGHT;
-                    let bound =
-                        (1.5 * dest.latency.mean_plus_deviations(OVERDUE_DEVIATIONS)).max(MIN_OVERDUE as f64);
+                    let bound = (LATENCY_BOUND_FACTOR
+                        * dest.latency.mean_plus_deviations(OVERDUE_DEVIATIONS))
+                    .max(MIN_OVERDUE as f64);
                     let took = (now - sent_at).max(end.took) as f64;
                     dest.latency.record(now, if measured { took.min(bound) } else { took });
                 }
@@ -683,7 +712,7 @@
                         ((share * senders.powf(SHARE_GROWTH_EXPONENT)).min(max_share), now - validity)
                     }
                     Some(share_left) if share_left < SCANT_ALLOWANCE => {
-                        ((share * 0.95).max(0.7 / senders), now)
+                        ((share * SCANT_SHARE_FACTOR).max(SCANT_SHARE_FLOOR / senders), now)
                     }
                     Some(_) => (share, now),
                     // `share_at` is not moved to now, so the share continues to grow with time. With few
@@ -873,7 +902,7 @@
             return if route.in_flight > 0 { Ns::MAX } else { route.next_trial_at };
         }
         let mut rate = route.rate(now, validity);
-        let mut burst = (0.4 * rate).clamp(1.0, 4.0);
+        let mut burst = (BURST_TIME_S * rate).clamp(1.0, MAX_BURST);
         if route.slow_start {
             (rate, burst) = (rate.min(slow_start_rate), 1.0);
         }
@@ -999,7 +1028,7 @@
                 let possible_runs =
                     open_message.attempts.iter().filter(|attempt| attempt.may_have_run).count();
                 !open_message.in_flight()
-                    || possible_runs == 1 && self.now + SECOND < self.resend_until(open_message)
+                    || possible_runs == 1 && self.now + MIN_RESEND_TIME < self.resend_until(open_message)
             })
         };
         let may_cancel = |call: &Call| {
@@ -1092,7 +1121,7 @@
         let max_batch =
             self.settings.kinds.get(self.endpoints[&endpoint].kind).map_or(1, |kind| kind.max_batch.max(1));
         let queue_time = (dest.held.len() as f64 * dest.service_interval(now)) as Ns;
-        let queue_time = queue_time.clamp(SECOND, 30 * SECOND);
+        let queue_time = queue_time.clamp(MIN_QUEUE_TIME, MAX_QUEUE_TIME);
         let latency = dest.latency.mean() as Ns;
         let mut order: Vec<(f64, MsgId)> = Vec::new();
         for &message_id in &dest.held {
@@ -1104,7 +1133,7 @@
                 - self.worth(open_message, now + latency + queue_time);
             // The message of a trial call may be lost, and an unsafe one cannot be sent again: it goes last.
             if route.half_open && self.settings.classes[open_message.message.class].effect == Effect::Unsafe {
-                urgency -= 1e6;
+                urgency -= UNSAFE_TRIAL_PENALTY;
             }
             order.push((urgency, message_id));
         }
@@ -1125,13 +1154,17 @@
         let now = self.now;
         let route_id = self.route_of(endpoint);
         let slow_start_rate = self.slow_start_rate(&self.routes[&route_id]);
+        // Random, with the interval of the slow start rate as its mean.
         let trial_interval = (2e9 * self.next_random() / slow_start_rate) as Ns;
         let route = self.routes.get_mut(&route_id).expect("a candidate's route is known");
         route.in_flight += 1;
         route.sent_rate.record(now);
         route.tokens -= 1.0;
-        route.next_trial_at =
-            now + trial_interval.clamp(500 * MS, SECOND * self.settings.sender_count.max(3) as Ns);
+        route.next_trial_at = now
+            + trial_interval.clamp(
+                MIN_TRIAL_INTERVAL,
+                MAX_TRIAL_INTERVAL_PER_SENDER * self.settings.sender_count.max(3) as Ns,
+            );
         let trial = route.half_open;
         self.trials_in_flight += trial as usize;
         let state = self.endpoints.get_mut(&endpoint).expect("a candidate's endpoint is known");
