--- a/crates/testbed/examples/readiness.rs
+++ b/crates/testbed/examples/readiness.rs
@@ -2,7 +2,8 @@
 //!
 //!     cargo run --release -p testbed --example readiness -- target/release/cairnpulley-sender [journal-file]
 //!
-//! With `journal-file` folders are in the form before the log, for senders of that time or to see the taking over.
+//! With `journal-file` folders are in the form before the log, for senders of that time or to see the taking
+//! over.
 use sender::records::book::Book;
 use sender::records::{folder, journal_file, wall_ms, Owed, Taken};
 use serde_json::json;
--- a/crates/testbed/examples/scale_backlog.rs
+++ b/crates/testbed/examples/scale_backlog.rs
@@ -1,5 +1,6 @@
-//! The decision module and the catalogue without sockets: memory and time by listed destination, by destination that
-//! the module is told of, by used destination and by held message. JSON on standard output, progress on standard error.
+//! The decision module and the catalogue without sockets: memory and time by listed destination, by
+//! destination that the module is told of, by used destination and by held message. JSON on standard output,
+//! progress on standard error.
 //!
 //!     cargo run --release -p testbed --example scale_backlog -- [--small|--full]
 //!
@@ -9,16 +10,16 @@
 use serde::Serialize;
 use std::error::Error;
 use std::time::{Duration, Instant};
-use testbed::scale::allocation::Counting;
+use testbed::scale::allocation::CountingAllocator;
 use testbed::scale::change_log::ChangeLog;
 use testbed::scale::deployment::{Addresses, Deployment, Size};
 use testbed::scale::fit::Line;
 use testbed::scale::fleet::module_settings;
-use testbed::scale::module::Module;
+use testbed::scale::module::ModuleHarness;
 use testbed::seed::Seed;
 
 #[global_allocator]
-static MEMORY: Counting = Counting;
+static MEMORY: CountingAllocator = CountingAllocator;
 
 const SEED: Seed = Seed(30);
 const DESTINATIONS: u64 = 1_000;
@@ -110,7 +111,8 @@
     of.as_secs_f64() * 1e3
 }
 
-/// How many steps there were within the bound, and the time that each takes in the mean and at most, in microseconds.
+/// How many steps there were within the bound, and the time that each takes in the mean and at most, in
+/// microseconds.
 fn time(steps: u32, mut step: impl FnMut()) -> (u32, f64, f64) {
     let begun = Instant::now();
     let (mut done, mut most) = (0, Duration::ZERO);
@@ -129,10 +131,10 @@
 }
 
 /// A module with its list.
-fn with_list(destinations: u64, settings: &Settings) -> Result<Module, Box<dyn Error>> {
+fn with_list(destinations: u64, settings: &Settings) -> Result<ModuleHarness, Box<dyn Error>> {
     let list = change_log(destinations).since(None).parts.concat();
-    let mut module = Module::new(settings, Outcome::Served);
-    module.take(intake::read(list.as_slice(), &Catalogue::default(), &LIMITS)?);
+    let mut module = ModuleHarness::new(settings, Outcome::Served);
+    module.apply_list(intake::read(list.as_slice(), &Catalogue::default(), &LIMITS)?);
     Ok(module)
 }
 
@@ -140,16 +142,16 @@
     let mut log = change_log(destinations);
     let list = log.since(None).parts.concat();
     let begun = MEMORY.in_use();
-    let mut module = Module::new(&module_settings(), Outcome::Served);
+    let mut module = ModuleHarness::new(&module_settings(), Outcome::Served);
     let before = MEMORY.in_use();
-    MEMORY.take_most();
+    MEMORY.take_peak();
     let at = Instant::now();
     let taken = intake::read(list.as_slice(), &Catalogue::default(), &LIMITS)?;
     let intake_ms = milliseconds(at.elapsed());
-    let intake_most_bytes = MEMORY.take_most().saturating_sub(before);
+    let intake_most_bytes = MEMORY.take_peak().saturating_sub(before);
     let catalogue_bytes = MEMORY.in_use() - before;
-    module.take(taken);
-    module.settle(2);
+    module.apply_list(taken);
+    module.run_rounds(2);
     let module_bytes = MEMORY.in_use() - begun - catalogue_bytes;
     let (_, round_us, _) = time(ROUNDS, || module.round());
     let (change_us, change_us_most) = changes(&mut log, &mut module);
@@ -157,7 +159,7 @@
         destinations,
         list_bytes: list.len(),
         catalogue_bytes,
-        known: module.known(),
+        known: module.known_destinations(),
         module_bytes,
         intake_ms,
         intake_most_bytes,
@@ -168,12 +170,12 @@
 }
 
 /// What a change costs from its bytes to its being in force, in microseconds: in the mean, and at most.
-fn changes(log: &mut ChangeLog, module: &mut Module) -> (f64, f64) {
+fn changes(log: &mut ChangeLog, module: &mut ModuleHarness) -> (f64, f64) {
     let mut random = SEED.stream("changes", 0);
     let bodies: Vec<Vec<u8>> = (0..CHANGES)
         .map(|_| {
             let before = log.generation();
-            let change = log.deployment().draw(&mut random);
+            let change = log.deployment().draw_change(&mut random);
             log.apply(change);
             log.since(Some(before)).parts.concat()
         })
@@ -183,18 +185,18 @@
         let body = bodies.next().expect("one for each step");
         let current = module.catalogue().expect("it has a list");
         let taken = intake::read(body.as_slice(), current, &LIMITS).expect("a list of changes");
-        module.take(taken);
+        module.apply_list(taken);
     });
     (mean, most)
 }
 
 fn told(destinations: u64) -> Told {
     let before = MEMORY.in_use();
-    let mut module = Module::new(&module_settings(), Outcome::Served);
+    let mut module = ModuleHarness::new(&module_settings(), Outcome::Served);
     let at = Instant::now();
-    module.list(destinations);
+    module.tell_whole_list(destinations);
     let whole_list_ms = milliseconds(at.elapsed());
-    module.settle(2);
+    module.run_rounds(2);
     let module_bytes = MEMORY.in_use() - before;
     let (_, round_us, _) = time(ROUNDS, || module.round());
     Told { destinations, module_bytes, whole_list_ms, round_us }
@@ -204,16 +206,16 @@
     let mut module = with_list(destinations, &module_settings())?;
     let before = MEMORY.in_use();
     module.offer(destinations, SERVED_BATCH, destinations, BOUND);
-    module.settle(10);
+    module.run_rounds(10);
     let module_bytes = MEMORY.in_use().saturating_sub(before);
     let (_, round_us, round_us_most) = time(ROUNDS, || module.round());
     Ok(Used {
         destinations,
-        known: module.known(),
+        known: module.known_destinations(),
         module_bytes,
         round_us,
         round_us_most,
-        open: module.open(),
+        open: module.open_messages(),
     })
 }
 
@@ -221,15 +223,15 @@
 fn held(messages: u64) -> Held {
     let mut settings = module_settings();
     settings.max_open = 2 * messages as usize;
-    let mut module = Module::new(&settings, Outcome::NoConnection);
-    module.list(DESTINATIONS);
-    module.settle(2);
+    let mut module = ModuleHarness::new(&settings, Outcome::NoConnection);
+    module.tell_whole_list(DESTINATIONS);
+    module.run_rounds(2);
     let (before, at) = (MEMORY.in_use(), Instant::now());
     let all_taken_on = module.offer(messages, BATCH, DESTINATIONS, BOUND);
     let seconds_to_take_on = at.elapsed().as_secs_f64();
     let module_bytes = MEMORY.in_use().saturating_sub(before);
     let (rounds, round_us_mean, round_us_most) = time(ROUNDS, || module.round());
-    let held = module.open();
+    let held = module.open_messages();
     let (_, _, message_us_most) = time(20, || {
         module.offer(1, 1, DESTINATIONS, BOUND);
     });
@@ -248,7 +250,7 @@
 
 fn line<T>(rows: &[T], of: impl Fn(&T) -> (u64, f64)) -> Option<Line> {
     let points: Vec<_> = rows.iter().map(|row| (of(row).0 as f64, of(row).1)).collect();
-    Line::through(&points)
+    Line::fit(&points)
 }
 
 fn fits(listed: &[Listed], told: &[Told], used: &[Used], held: &[Held]) -> Fits {
--- a/crates/testbed/examples/scale_fleet.rs
+++ b/crates/testbed/examples/scale_fleet.rs
@@ -1,11 +1,12 @@
-//! A fleet of hollow senders on one list service: changes one by one and in bursts, a region cut off and healed, a
-//! zone restarted at once. JSON on standard output, progress on standard error.
+//! A fleet of hollow senders on one list service: changes one by one and in bursts, a region cut off and
+//! healed, a zone restarted at once. JSON on standard output, progress on standard error.
 //!
 //!     cargo run --release -p testbed --example scale_fleet -- [--small|--full] [--senders 3600] [--destinations N]
 //!         [--changes N] [--compression 40]
 //!
-//! The senders share one process and one set of snapshots (see `scale::fleet`); the service has threads of its own, so
-//! that processor time is told apart. Time is compressed: changes and watches come `--compression` times as often.
+//! The senders share one process and one set of snapshots (see `scale::fleet`); the service has threads of
+//! its own, so that processor time is told apart. Time is compressed: changes and watches come
+//! `--compression` times as often.
 use catalogue::{intake, Catalogue, Limits};
 use rand_chacha::ChaCha8Rng;
 use rustix::process::{getrlimit, Resource};
@@ -15,7 +16,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 use testbed::scale::deployment::{Addresses, Deployment, Size, REGIONS, ZONES};
-use testbed::scale::fleet::{Fleet, InForce, Spec};
+use testbed::scale::fleet::{Fleet, FleetSpec, PropagationTimes};
 use testbed::scale::list_service::{Counts, ListService};
 use testbed::scale::usage;
 use testbed::seed::Seed;
@@ -42,7 +43,8 @@
 const SERVICE: &str = "list-service";
 /// Descriptors besides those of the connections' two ends.
 const OWN_DESCRIPTORS: u64 = 1_000;
-/// Whole lists that are read by the catalogue's intake where a zone restarts; the other senders' are only fetched.
+/// Whole lists that are read by the catalogue's intake where a zone restarts; the other senders' are only
+/// fetched.
 const READ: usize = 16;
 /// Of these so many at once.
 const READ_AT_ONCE: usize = 4;
@@ -60,7 +62,7 @@
 struct Stretch {
     seconds: f64,
     counts: Counts,
-    in_force: InForce,
+    in_force: PropagationTimes,
     all_have_the_last: bool,
     /// Processor time of the senders' threads and of the service's.
     senders_processor_s: f64,
@@ -156,31 +158,31 @@
 
     /// Makes and tells one change.
     fn change(&mut self) {
-        self.fleet.progress.publish(self.version() + 1);
-        self.service.change(&mut self.random);
+        self.fleet.progress.note_published(self.version() + 1);
+        self.service.apply_drawn_change(&mut self.random);
     }
 
     /// Begins to count; the end tells what came since.
     fn begin(&self) -> Result<Begun, Box<dyn Error>> {
-        self.fleet.progress.take();
+        self.fleet.progress.take_times();
         Ok(Begun {
             at: Instant::now(),
             counts: self.service.counts(),
-            senders: usage::threads(SENDERS)?,
-            service: usage::threads(SERVICE)?,
+            senders: usage::processor_time_of_threads(SENDERS)?,
+            service: usage::processor_time_of_threads(SERVICE)?,
         })
     }
 
     async fn end(&self, begun: Begun) -> Result<Stretch, Box<dyn Error>> {
-        let all_have_the_last = self.fleet.progress.all_have(self.version(), WITHIN).await;
+        let all_have_the_last = self.fleet.progress.wait_for_all(self.version(), WITHIN).await;
         let spent = |of: Duration, before: Duration| of.saturating_sub(before).as_secs_f64();
         Ok(Stretch {
             seconds: begun.at.elapsed().as_secs_f64(),
             counts: self.service.counts().since(&begun.counts),
-            in_force: self.fleet.progress.take(),
+            in_force: self.fleet.progress.take_times(),
             all_have_the_last,
-            senders_processor_s: spent(usage::threads(SENDERS)?, begun.senders),
-            service_processor_s: spent(usage::threads(SERVICE)?, begun.service),
+            senders_processor_s: spent(usage::processor_time_of_threads(SENDERS)?, begun.senders),
+            service_processor_s: spent(usage::processor_time_of_threads(SERVICE)?, begun.service),
         })
     }
 
@@ -206,18 +208,18 @@
     /// A region hears nothing while an hour's changes are made.
     async fn region_cut(&mut self) -> Result<Cut, Box<dyn Error>> {
         let begun = self.begin()?;
-        self.service.cut(0, true);
+        self.service.set_cut(0, true);
         for _ in 0..CHANGES_OF_AN_HOUR {
             self.change();
             sleep(CUT / CHANGES_OF_AN_HOUR).await;
         }
         let senders = self.arguments.senders.div_ceil(REGIONS as usize);
         let others = self.arguments.senders - senders;
-        if !self.fleet.progress.at_least(others, self.version(), WITHIN).await {
+        if !self.fleet.progress.wait_for(others, self.version(), WITHIN).await {
             return Err("not all have heard who are not cut off".into());
         }
         let (counts, healed) = (self.service.counts(), Instant::now());
-        self.service.cut(0, false);
+        self.service.set_cut(0, false);
         let stretch = self.end(begun).await?;
         let heal_ms = healed.elapsed().as_secs_f64() * 1e3;
         Ok(Cut { senders, stretch, heal_ms, heal_counts: self.service.counts().since(&counts) })
@@ -227,7 +229,7 @@
     async fn zone_restart(&self) -> Result<ZoneRestart, Box<dyn Error>> {
         let senders = self.arguments.senders.div_ceil(ZONES as usize);
         let (before, begun) = (self.service.counts(), Instant::now());
-        let service_before = usage::threads(SERVICE)?;
+        let service_before = usage::processor_time_of_threads(SERVICE)?;
         let mut fetches = JoinSet::new();
         for number in 0..senders as u32 {
             let at = self.service.address(number % REGIONS);
@@ -237,7 +239,7 @@
             fetched??;
         }
         let fetched_ms = begun.elapsed().as_secs_f64() * 1e3;
-        let service_processor_s = (usage::threads(SERVICE)? - service_before).as_secs_f64();
+        let service_processor_s = (usage::processor_time_of_threads(SERVICE)? - service_before).as_secs_f64();
         let bytes = self.service.counts().since(&before).bytes;
         let mut read = Vec::new();
         for _ in 0..READ / READ_AT_ONCE {
@@ -318,7 +320,7 @@
     let at = list.address(0);
     let read = tokio::task::spawn_blocking(move || read_list(at).map_err(|e| e.to_string()));
     let (catalogue, _) = read.await??;
-    let spec = Spec {
+    let spec = FleetSpec {
         seed: SEED,
         senders: arguments.senders,
         watch: WATCH / arguments.compression,
@@ -332,7 +334,7 @@
     let mut bench = Bench { arguments, service: list, fleet, random: SEED.stream("changes", 0) };
     eprintln!("{} senders connect", arguments.senders);
     bench.change();
-    if !bench.fleet.progress.all_have(bench.version(), WITHIN).await {
+    if !bench.fleet.progress.wait_for_all(bench.version(), WITHIN).await {
         return Err("the fleet does not come up".into());
     }
     eprintln!("{} changes", arguments.changes);
@@ -368,8 +370,8 @@
         bursts,
         region_cut,
         zone_restart,
-        process_memory: memory.now,
-        process_memory_most: memory.most,
+        process_memory: memory.current,
+        process_memory_most: memory.peak,
     })
 }
 
--- a/crates/testbed/examples/scale_sender.rs
+++ b/crates/testbed/examples/scale_sender.rs
@@ -1,5 +1,5 @@
-//! One real sender over deployments of rising size, idle, with traffic and through whole new lists; then several
-//! together, each with the whole list. JSON on standard output, progress on standard error.
+//! One real sender over deployments of rising size, idle, with traffic and through whole new lists; then
+//! several together, each with the whole list. JSON on standard output, progress on standard error.
 //!
 //!     cargo run --release -p testbed --example scale_sender -- [--small|--full] [--sizes 30,1000] [--endpoints 1.6]
 //!         [--several 40] [--replacements 8] [--silent] [--fleet 1] [--descriptors 128] [--before SENDER] [SENDER]
@@ -14,9 +14,11 @@
 use testbed::scale::deployment::{Deployment, Size};
 use testbed::scale::fit::Line;
 use testbed::scale::list_service::ListService;
-use testbed::scale::load::{Down, Endpoints};
-use testbed::scale::real_sender::{RealSender, Shape};
-use testbed::scale::sender_bench::{Backlog, Bench, Extent, Row, Setting, READY_WITHIN, SETTLES, WORK};
+use testbed::scale::load::{DownBehaviour, Endpoints};
+use testbed::scale::real_sender::{RealSender, SenderParameters};
+use testbed::scale::sender_bench::{
+    Backlog, Bench, BenchConfig, BenchScope, Row, ENDPOINT_WORK, READINESS_TIMEOUT, SETTLE_TIME,
+};
 use testbed::scale::traffic::Skew;
 use testbed::scale::usage;
 use testbed::seed::Seed;
@@ -34,9 +36,9 @@
     several: usize,
     /// Whole lists at the largest size.
     replacements: usize,
-    down: Down,
-    shape: Shape,
-    lasts: Duration,
+    down: DownBehaviour,
+    parameters: SenderParameters,
+    load_duration: Duration,
 }
 
 #[derive(Serialize)]
@@ -95,9 +97,9 @@
         endpoints: 1.0,
         several: 2,
         replacements: 1,
-        down: Down::Refuses,
-        shape: Shape::default(),
-        lasts: Duration::from_secs(2),
+        down: DownBehaviour::Refuses,
+        parameters: SenderParameters::default(),
+        load_duration: Duration::from_secs(2),
     };
     let mut given = std::env::args().skip(1);
     while let Some(word) = given.next() {
@@ -107,15 +109,15 @@
             "--full" => {
                 read.sizes = FULL.to_vec();
                 (read.several, read.replacements) = (40, 8);
-                read.lasts = Duration::from_secs(7);
+                read.load_duration = Duration::from_secs(7);
             }
             "--sizes" => read.sizes = value()?.split(',').map(str::parse).collect::<Result<_, _>>()?,
             "--endpoints" => read.endpoints = value()?.parse()?,
             "--several" => read.several = value()?.parse()?,
             "--replacements" => read.replacements = value()?.parse()?,
-            "--silent" => read.down = Down::Silent,
-            "--fleet" => read.shape.fleet = value()?.parse()?,
-            "--descriptors" => read.shape.descriptors = value()?.parse()?,
+            "--silent" => read.down = DownBehaviour::Silent,
+            "--fleet" => read.parameters.fleet = value()?.parse()?,
+            "--descriptors" => read.parameters.descriptors = value()?.parse()?,
             "--before" => read.before = Some(PathBuf::from(value()?)),
             option if option.starts_with("--") => return Err(format!("no option {option}").into()),
             _ => read.program = Some(PathBuf::from(word)),
@@ -128,27 +130,27 @@
     program: &Path,
     senders: usize,
     size: Size,
-    shape: &Shape,
+    parameters: &SenderParameters,
 ) -> Result<Several, Box<dyn Error>> {
     let folder = tempfile::tempdir()?;
-    let endpoints = Endpoints::start(WORK, Down::Refuses)?;
+    let endpoints = Endpoints::start(ENDPOINT_WORK, DownBehaviour::Refuses)?;
     let service = ListService::start(Deployment::new(SEED, size, endpoints.addresses()))?;
     let mut all = Vec::new();
     for number in 0..senders as u32 {
         let own = folder.path().join(format!("n{number}"));
         std::fs::create_dir(&own)?;
-        all.push(RealSender::start(program, &own, service.address(number % 4), number, shape)?);
+        all.push(RealSender::start(program, &own, service.address(number % 4), number, parameters)?);
     }
     let mut last_ready_ms = Some(0.0);
     for sender in &mut all {
-        let ready = sender.ready(READY_WITHIN).await.map(|r| r.as_secs_f64() * 1e3);
+        let ready = sender.wait_until_ready(READINESS_TIMEOUT).await.map(|r| r.as_secs_f64() * 1e3);
         last_ready_ms = last_ready_ms.zip(ready).map(|(a, b)| f64::max(a, b));
     }
-    sleep(SETTLES).await;
+    sleep(SETTLE_TIME).await;
     let memory: Vec<_> = all.iter().map(RealSender::memory).collect::<Result<_, _>>()?;
-    let sum: u64 = memory.iter().map(|m| m.now).sum();
+    let sum: u64 = memory.iter().map(|m| m.current).sum();
     for sender in all {
-        sender.end().await?;
+        sender.kill().await?;
     }
     Ok(Several {
         senders,
@@ -156,7 +158,7 @@
         last_ready_ms,
         memory_sum: sum,
         memory_each: sum / senders as u64,
-        most_memory_each: memory.iter().map(|m| m.most).max().unwrap_or(0),
+        most_memory_each: memory.iter().map(|m| m.peak).max().unwrap_or(0),
         bytes: service.counts().bytes,
     })
 }
@@ -168,7 +170,7 @@
     let line = |of: fn(&Row) -> f64| {
         let points: Vec<_> =
             rows.iter().filter(with_list).map(|row| (f64::from(row.destinations), of(row))).collect();
-        Line::through(&points)
+        Line::fit(&points)
     };
     let used = rows.iter().filter(with_list).flat_map(|row| {
         let uniform = row.traffic.iter().filter(|t| t.outcome.skew == Skew::Uniform.name());
@@ -177,7 +179,7 @@
     let backlog: Vec<&Backlog> = rows.iter().filter_map(|row| row.backlog.as_ref()).flatten().collect();
     let by_held = |of: fn(&Backlog) -> u64| {
         let points: Vec<_> = backlog.iter().map(|b| (b.held as f64, of(b) as f64)).collect();
-        Line::through(&points)
+        Line::fit(&points)
     };
     Fits {
         memory_by_held_message: by_held(|b| b.memory),
@@ -186,7 +188,7 @@
         most_memory_by_destination: line(|row| row.most_memory as f64),
         ready_ms_by_destination: line(|row| row.ready_ms.unwrap_or(f64::NAN)),
         list_bytes_by_destination: line(|row| row.fetched.bytes as f64),
-        traffic_memory_by_used_destination: Line::through(&used.collect::<Vec<_>>()),
+        traffic_memory_by_used_destination: Line::fit(&used.collect::<Vec<_>>()),
     }
 }
 
@@ -211,14 +213,14 @@
     for &destinations in &arguments.sizes {
         let is_largest = Some(destinations) == largest;
         let replacements = if is_largest { arguments.replacements } else { 1 };
-        let extent = Extent { replacements, with_backlog: is_largest };
-        let Arguments { shape, down, lasts, .. } = arguments;
-        let setting = Setting { seed: SEED, size: size(destinations), shape, down, lasts };
+        let scope = BenchScope { replacements, with_backlog: is_largest };
+        let Arguments { parameters, down, load_duration, .. } = arguments;
+        let config = BenchConfig { seed: SEED, size: size(destinations), parameters, down, load_duration };
         let before = arguments.before.as_deref().map(|program| (program, &mut rows_before));
         for (program, rows) in before.into_iter().chain([(program.as_path(), &mut rows)]) {
             eprintln!("{destinations} destinations, {}", program.display());
             let folder = tempfile::tempdir()?;
-            rows.push(Bench::start(program, folder.path(), &setting)?.row(extent).await?);
+            rows.push(Bench::start(program, folder.path(), &config)?.measure(scope).await?);
         }
     }
     let several = match largest.filter(|_| arguments.several > 0) {
@@ -227,7 +229,7 @@
             let own = rows.iter().map(|r| r.most_memory).max().unwrap_or(0);
             let room = usage::machine_memory()? / 2;
             let senders = arguments.several.min((room / own.max(1)) as usize);
-            Some(several(&program, senders, size(largest), &arguments.shape).await?)
+            Some(several(&program, senders, size(largest), &arguments.parameters).await?)
         }
         None => None,
     };
@@ -236,8 +238,8 @@
     Ok(Report {
         seed: SEED.0,
         endpoints_per_destination: arguments.endpoints,
-        fleet: arguments.shape.fleet,
-        descriptors: arguments.shape.descriptors,
+        fleet: arguments.parameters.fleet,
+        descriptors: arguments.parameters.descriptors,
         load_average: [begun_at, load_average()],
         programs: before.into_iter().chain([after]).collect(),
     })
--- a/crates/testbed/examples/scale_tables.rs
+++ b/crates/testbed/examples/scale_tables.rs
@@ -1,4 +1,5 @@
-//! Tables of what the scale tests gave, in full; `page` fills those of `docs/CAPACITY.md` from the files beside it.
+//! Tables of what the scale tests gave, in full; `page` fills those of `docs/CAPACITY.md` from the files
+//! beside it.
 //!
 //!     cargo run --release -p testbed --example scale_tables -- sender FILE... | module FILE... | fleet FILE... | page
 //!
@@ -297,7 +298,7 @@
 fn page() -> Result<(), Box<dyn Error>> {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs");
     let path = docs.join("CAPACITY.md");
-    let filled = page::filled(&std::fs::read_to_string(&path)?, &docs.join("capacity"))?;
+    let filled = page::fill(&std::fs::read_to_string(&path)?, &docs.join("capacity"))?;
     std::fs::write(&path, filled)?;
     Ok(())
 }
--- a/crates/testbed/src/addresses.rs
+++ b/crates/testbed/src/addresses.rs
@@ -13,7 +13,8 @@
 /// Attempts to find an unused address, or to listen on one, before an error is returned.
 const MAX_TRIES: usize = 32;
 
-/// Reserves an address with an unused port, on a host within 127.64.0.0/10 that is derived from the process id.
+/// Reserves an address with an unused port, on a host within 127.64.0.0/10 that is derived from the process
+/// id.
 ///
 /// Ephemeral ports that the kernel assigns on 127.0.0.1 cannot clash with it while nothing listens on it.
 pub fn reserve() -> io::Result<SocketAddr> {
@@ -57,17 +58,19 @@
     }
 }
 
-/// Connections that fill an accept queue of length 0: it holds one, and two more wait in case the first completes late.
+/// Connections that fill an accept queue of length 0: it holds one, and two more wait in case the first
+/// completes late.
 const BLOCKER_CONNECTIONS: usize = 3;
 /// Delay after a failed accept, for instance when descriptors have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// A listener that can be made a black hole: new connections are then neither established nor refused, as with a host
-/// that is gone.
+/// A listener that can be made a black hole: new connections are then neither established nor refused, as
+/// with a host that is gone.
 pub struct BlackholeListener {
     listener: AsyncListener,
     address: SocketAddr,
-    /// While blackholed: connections of its own that fill the accept queue, so that the kernel drops those of others.
+    /// While blackholed: connections of its own that fill the accept queue, so that the kernel drops those of
+    /// others.
     blockers: Vec<std::net::TcpStream>,
 }
 
@@ -85,7 +88,8 @@
     /// Starts or stops to ignore new connections.
     pub fn set_blackholed(&mut self, blackholed: bool) {
         if blackholed == self.blockers.is_empty() {
-            // Another listen call changes the length of the queue. If it fails, connections are established but unanswered.
+            // Another listen call changes the length of the queue. If it fails, connections are established
+            // but unanswered.
             let _ = rustix::net::listen(&self.listener, if blackholed { 0 } else { ACCEPT_BACKLOG.into() });
             self.blockers.clear();
             if blackholed {
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -1,6 +1,6 @@
-//! `docs/CAPACITY.md`: its tables are made from the files that the scale tests gave, in `docs/capacity/`.
+//! Generates the tables of `docs/CAPACITY.md` from the results of scale measurements in `docs/capacity/`.
 //!
-//! A table stands between `<!-- table NAME -->` and `<!-- end -->`; everything else on the page is written by hand.
+//! A table stands between `<!-- table NAME -->` and `<!-- end -->`; the rest of the page is written by hand.
 mod measured;
 pub mod page;
 mod sender_tables;
--- a/crates/testbed/src/capacity/sender_tables.rs
+++ b/crates/testbed/src/capacity/sender_tables.rs
@@ -1,16 +1,16 @@
-//! Tables of a real sender, before and after.
+//! Tables that compare a real sender before and after a change.
 use super::measured::{Measured, MeasuredError};
 use super::table::{megabytes, percent, short, Table};
 use std::path::Path;
 
-/// The rows of both programs of one run, by size.
-fn pairs(folder: &Path) -> Result<Vec<(Measured, Measured)>, MeasuredError> {
+/// Returns the rows of both programs of a run, paired by size.
+fn row_pairs(folder: &Path) -> Result<Vec<(Measured, Measured)>, MeasuredError> {
     let run = Measured::read(folder, "sender")?;
     let (before, after) = (run.list("/programs/0/rows")?, run.list("/programs/1/rows")?);
     Ok(before.into_iter().zip(after).collect())
 }
 
-/// Start and memory.
+/// Time until readiness, fetched lists and memory.
 pub(super) fn start(folder: &Path) -> Result<Table, MeasuredError> {
     let mut table = Table::new(&[
         "destinations",
@@ -23,7 +23,7 @@
         "most, before",
         "after",
     ]);
-    for (before, after) in pairs(folder)? {
+    for (before, after) in row_pairs(folder)? {
         let ready = |row: &Measured| -> Result<String, MeasuredError> {
             let time = row.number_if_any("/ready_ms")?;
             let time = time.map_or("never".into(), |ms| format!("{} ms", short(ms.round())));
@@ -49,7 +49,7 @@
     Ok(table)
 }
 
-/// Traffic of a sender of the fleet.
+/// Outcome and cost of traffic at the rate of a sender of the fleet, and at a higher one.
 pub(super) fn traffic(folder: &Path) -> Result<Table, MeasuredError> {
     let mut table = Table::new(&[
         "destinations",
@@ -65,16 +65,16 @@
         "healthz p99, ms, after",
         "the loop ran at most, ms",
     ]);
-    for (before, after) in pairs(folder)? {
+    for (before, after) in row_pairs(folder)? {
         let destinations = short(after.number("/destinations")?);
         for (before, after) in before.list("/traffic")?.iter().zip(after.list("/traffic")?) {
-            let delivered = |one: &Measured| -> Result<String, MeasuredError> {
+            let delivered = |load: &Measured| -> Result<String, MeasuredError> {
                 let (taken, done) =
-                    (one.number("/outcome/taken_on_for_live")?, one.number("/outcome/delivered")?);
+                    (load.number("/outcome/taken_on_for_live")?, load.number("/outcome/delivered")?);
                 Ok(percent(done, taken))
             };
-            let processor = |one: &Measured| -> Result<String, MeasuredError> {
-                Ok(percent(one.number("/processor_share")?, 1.0))
+            let processor = |load: &Measured| -> Result<String, MeasuredError> {
+                Ok(percent(load.number("/processor_share")?, 1.0))
             };
             let (skew, rate) = (after.text("/outcome/skew")?, after.number("/outcome/per_second")?);
             let taken_on = percent(after.number("/outcome/taken_on")?, after.number("/outcome/handed_in")?);
@@ -97,7 +97,7 @@
     Ok(table)
 }
 
-/// Whole lists that differ in all entries, one after the other, at the largest size.
+/// Replacements of the whole list, one after the other, at the largest size.
 pub(super) fn whole_lists(folder: &Path) -> Result<Table, MeasuredError> {
     let mut table = Table::new(&[
         "run",
@@ -115,18 +115,18 @@
     for (run, rows) in [("full", full.list("/programs/1/rows")?), ("alone", alone.list("/programs/0/rows")?)]
     {
         let Some(largest) = rows.last() else { continue };
-        for (number, one) in largest.list("/replacements")?.into_iter().enumerate() {
+        for (index, replacement) in largest.list("/replacements")?.into_iter().enumerate() {
             table.row(vec![
                 run.into(),
-                (number + 1).to_string(),
-                short(one.number("/holds/most_ran_ms")?),
-                short(one.number("/holds/longest_ms")?),
-                short(one.number("/holds/longest/loop_ran_ms")?),
-                short(one.number("/holds/longest/loop_waited_ms")?),
-                short(one.number("/holds/late_longest_ms")?),
-                short(one.number("/outcome/answer_ms_max")?),
-                megabytes(one.number("/memory")?),
-                megabytes(one.number("/most_memory")?),
+                (index + 1).to_string(),
+                short(replacement.number("/holds/most_ran_ms")?),
+                short(replacement.number("/holds/longest_ms")?),
+                short(replacement.number("/holds/longest/loop_ran_ms")?),
+                short(replacement.number("/holds/longest/loop_waited_ms")?),
+                short(replacement.number("/holds/late_longest_ms")?),
+                short(replacement.number("/outcome/answer_ms_max")?),
+                megabytes(replacement.number("/memory")?),
+                megabytes(replacement.number("/most_memory")?),
             ]);
         }
     }
--- a/crates/testbed/src/capacity/table.rs
+++ b/crates/testbed/src/capacity/table.rs
@@ -1,31 +1,34 @@
-//! Tables in Markdown, and numbers in them.
+//! Markdown tables and the format of numbers in them.
 
-/// A table; all rows have as many cells as the head.
+/// A table. Every row must have as many cells as the header.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    head: Vec<String>,
+    header: Vec<String>,
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    pub fn new(head: &[&str]) -> Table {
-        Table { head: head.iter().map(|h| h.to_string()).collect(), rows: Vec::new() }
+    /// Creates a table without rows.
+    pub fn new(header: &[&str]) -> Table {
+        Table { header: header.iter().map(|h| h.to_string()).collect(), rows: Vec::new() }
     }
 
+    /// Appends a row.
     pub fn row(&mut self, cells: Vec<String>) {
-        debug_assert_eq!(cells.len(), self.head.len());
+        debug_assert_eq!(cells.len(), self.header.len());
         self.rows.push(cells);
     }
 
+    /// Returns the table in Markdown.
     pub fn markdown(&self) -> String {
         let line = |cells: &[String]| format!("| {} |\n", cells.join(" | "));
-        let rule = format!("|{}\n", " --- |".repeat(self.head.len()));
+        let separator = format!("|{}\n", " --- |".repeat(self.header.len()));
         let rows: String = self.rows.iter().map(|row| line(row)).collect();
-        line(&self.head) + &rule + &rows
+        line(&self.header) + &separator + &rows
     }
 }
 
-/// As few digits as say something.
+/// Formats a number with few significant digits and with separators of thousands; a dash stands for NaN.
 pub fn short(number: f64) -> String {
     match number.abs() {
         _ if number.is_nan() => "-".into(),
@@ -38,6 +41,7 @@
     }
 }
 
+/// Formats an integer with separators of thousands.
 fn thousands(number: i64) -> String {
     let digits = number.abs().to_string();
     let groups: Vec<&str> =
@@ -45,11 +49,12 @@
     format!("{}{}", if number < 0 { "-" } else { "" }, groups.join(","))
 }
 
+/// Formats a share as a percentage with one decimal.
 pub fn percent(part: f64, whole: f64) -> String {
     format!("{:.1}%", 100.0 * part / whole)
 }
 
-/// Bytes in 10^6.
+/// Formats bytes in units of 10^6.
 pub fn megabytes(bytes: f64) -> String {
     short(bytes / 1e6)
 }
@@ -59,7 +64,7 @@
     use super::*;
 
     #[test]
-    fn numbers_are_as_short_as_they_may_be() {
+    fn formats_numbers_with_few_digits() {
         let cases = [(0.0, "0"), (1_234_567.0, "1,234,567"), (-1_234.4, "-1,234"), (12.34, "12.3")];
         let small = [(0.1234, "0.12"), (0.0021, "0.0021"), (0.000_012, "1.20e-5"), (f64::NAN, "-")];
         for (number, text) in cases.into_iter().chain(small) {
@@ -68,7 +73,7 @@
     }
 
     #[test]
-    fn a_table_is_written_in_markdown() {
+    fn formats_table_in_markdown() {
         let mut table = Table::new(&["a", "b"]);
         table.row(vec!["1".into(), "2".into()]);
         assert_eq!(table.markdown(), "| a | b |\n| --- | --- |\n| 1 | 2 |\n");
--- a/crates/testbed/src/capacity/tables.rs
+++ b/crates/testbed/src/capacity/tables.rs
@@ -1,16 +1,18 @@
-//! The page's tables by name.
+//! The tables of the page by name.
 use super::measured::{Measured, MeasuredError};
 use super::sender_tables;
 use super::table::{short, Table};
 use crate::scale::traffic::{expected_destinations, Skew};
 use std::path::Path;
 
-/// Messages a second that a sender of the fleet takes, destinations, and held messages, at the size planned for.
-const RATE: f64 = 106.0;
+/// Messages per second of a sender of the fleet at the planned size.
+const MESSAGES_PER_SECOND: f64 = 106.0;
+/// Destinations at the planned size.
 const DESTINATIONS: u32 = 350_000;
-const HELD: f64 = 13.9e6;
+/// Held messages at the planned size.
+const HELD_MESSAGES: f64 = 13.9e6;
 
-/// A table of the page; none of that name.
+/// Returns the table of a name, or `None` if there is none.
 pub(super) fn table(name: &str, folder: &Path) -> Result<Option<Table>, MeasuredError> {
     Ok(Some(match name {
         "start" => sender_tables::start(folder)?,
@@ -23,7 +25,7 @@
     }))
 }
 
-/// Where a line was fitted.
+/// The measurement that a line was fitted to.
 #[derive(Clone, Copy)]
 enum Source {
     Sender,
@@ -33,7 +35,7 @@
 }
 
 impl Source {
-    /// As the page names its command.
+    /// Returns the name of its command on the page.
     fn name(self) -> &'static str {
         match self {
             Source::Sender => "sender",
@@ -43,6 +45,7 @@
         }
     }
 
+    /// Returns its fitted lines.
     fn fits(self, folder: &Path) -> Result<Measured, MeasuredError> {
         let (file, path) = match self {
             Source::Sender => ("sender", "/programs/1/fits"),
@@ -54,46 +57,86 @@
     }
 }
 
-/// A line of the page: what, its unit, where it was fitted and under which name, and the size planned for.
-type Slope = (&'static str, &'static str, Source, &'static str, f64);
+/// A row of the table of slopes: title, unit, measurement, name of the fitted line, and planned size.
+type SlopeRow = (&'static str, &'static str, Source, &'static str, f64);
 
-const ALL: f64 = DESTINATIONS as f64;
-/// The module holds state for no more destinations than were measured.
-const BOUNDED: f64 = 0.0;
+/// Planned size of rows by destination.
+const ALL_DESTINATIONS: f64 = DESTINATIONS as f64;
+/// Planned size of rows that need no extrapolation: the module holds state for no more destinations than were
+/// measured.
+const MEASURED_RANGE: f64 = 0.0;
 
-const SLOPES: [Slope; 15] = [
-    ("list, bytes by destination", "B", Source::Sender, "list_bytes_by_destination", ALL),
-    ("catalogue, heap by destination", "B", Source::Module, "catalogue_bytes_by_listed_destination", ALL),
-    ("sender idle, resident by destination", "B", Source::Sender, "idle_memory_by_destination", ALL),
-    ("sender idle, before", "B", Source::SenderBefore, "idle_memory_by_destination", ALL),
-    ("sender, most, by destination", "B", Source::Sender, "most_memory_by_destination", ALL),
-    ("ready, by destination", "ms", Source::Sender, "ready_ms_by_destination", ALL),
-    ("intake of a whole list, by destination", "ms", Source::Module, "intake_ms_by_listed_destination", ALL),
-    ("module, by listed destination", "B", Source::Module, "module_bytes_by_listed_destination", ALL),
+const SLOPES: [SlopeRow; 15] = [
+    ("list, bytes by destination", "B", Source::Sender, "list_bytes_by_destination", ALL_DESTINATIONS),
+    (
+        "catalogue, heap by destination",
+        "B",
+        Source::Module,
+        "catalogue_bytes_by_listed_destination",
+        ALL_DESTINATIONS,
+    ),
+    (
+        "sender idle, resident by destination",
+        "B",
+        Source::Sender,
+        "idle_memory_by_destination",
+        ALL_DESTINATIONS,
+    ),
+    ("sender idle, before", "B", Source::SenderBefore, "idle_memory_by_destination", ALL_DESTINATIONS),
+    ("sender, most, by destination", "B", Source::Sender, "most_memory_by_destination", ALL_DESTINATIONS),
+    ("ready, by destination", "ms", Source::Sender, "ready_ms_by_destination", ALL_DESTINATIONS),
+    (
+        "intake of a whole list, by destination",
+        "ms",
+        Source::Module,
+        "intake_ms_by_listed_destination",
+        ALL_DESTINATIONS,
+    ),
+    (
+        "module, by listed destination",
+        "B",
+        Source::Module,
+        "module_bytes_by_listed_destination",
+        ALL_DESTINATIONS,
+    ),
     (
         "module, by listed destination, before",
         "B",
         Source::ModuleBefore,
         "module_bytes_by_told_destination",
-        ALL,
+        ALL_DESTINATIONS,
+    ),
+    (
+        "module, by known destination",
+        "B",
+        Source::Module,
+        "module_bytes_by_known_destination",
+        MEASURED_RANGE,
+    ),
+    ("module, by held message", "B", Source::Module, "module_bytes_by_held_message", HELD_MESSAGES),
+    (
+        "longest round, by held message",
+        "us",
+        Source::Module,
+        "longest_round_us_by_held_message",
+        HELD_MESSAGES,
     ),
-    ("module, by known destination", "B", Source::Module, "module_bytes_by_known_destination", BOUNDED),
-    ("module, by held message", "B", Source::Module, "module_bytes_by_held_message", HELD),
-    ("longest round, by held message", "us", Source::Module, "longest_round_us_by_held_message", HELD),
-    ("longest round, before", "us", Source::ModuleBefore, "longest_round_us_by_held_message", HELD),
-    ("real sender, resident by held message", "B", Source::Sender, "memory_by_held_message", HELD),
-    ("state folder, by held message", "B", Source::Sender, "state_bytes_by_held_message", HELD),
+    ("longest round, before", "us", Source::ModuleBefore, "longest_round_us_by_held_message", HELD_MESSAGES),
+    ("real sender, resident by held message", "B", Source::Sender, "memory_by_held_message", HELD_MESSAGES),
+    ("state folder, by held message", "B", Source::Sender, "state_bytes_by_held_message", HELD_MESSAGES),
 ];
 
+/// Fitted slopes, with how far the planned size lies beyond the measured ones.
 fn slopes(folder: &Path) -> Result<Table, MeasuredError> {
     let mut table =
         Table::new(&["what", "slope", "standard error", "at none", "residual", "sizes", "reach", "command"]);
-    for (what, unit, source, fit, target) in SLOPES {
+    for (title, unit, source, fit, planned_size) in SLOPES {
         let line = source.fits(folder)?.at(&format!("/{fit}"))?;
-        let beyond = target / line.number("/measured_to")?;
-        let reach = if beyond <= 1.0 { "none".into() } else { format!("{} times", short(beyond)) };
+        let reach_factor = planned_size / line.number("/measured_to")?;
+        let reach =
+            if reach_factor <= 1.0 { "none".into() } else { format!("{} times", short(reach_factor)) };
         table.row(vec![
-            what.into(),
+            title.into(),
             format!("{} {unit}", short(line.number("/slope")?)),
             short(line.number("/slope_error")?),
             short(line.number("/intercept")?.round()),
@@ -106,6 +149,7 @@
     Ok(table)
 }
 
+/// Propagation of changes through a fleet.
 fn fleet(folder: &Path) -> Result<Table, MeasuredError> {
     let mut table = Table::new(&[
         "stretch",
@@ -145,11 +189,11 @@
     Ok(table)
 }
 
-/// How many destinations a sender has had messages for in a span of time.
+/// Expected number of destinations that a sender gets messages for in a span of time.
 fn active() -> Table {
     let mut table = Table::new(&["span", "messages", "destinations, zipf", "destinations, uniform"]);
     for seconds in [10.0, 60.0, 600.0, 3_600.0, 86_400.0] {
-        let messages = RATE * seconds;
+        let messages = MESSAGES_PER_SECOND * seconds;
         let expected = |skew| short(expected_destinations(skew, DESTINATIONS, messages).round());
         table.row(vec![
             format!("{} s", short(seconds)),
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients on sockets: an open-loop load generator that hands messages in at their planned times, whatever the senders
-//! do, with the timeout and the retries of the protocol.
+//! Clients on sockets: an open-loop load generator that hands messages in at their planned times, whatever
+//! the senders do, with the timeout and the retries of the protocol.
 use crate::client_retry::{HandInEnd, RetryState, TryKind};
 use crate::clock::{from_seconds, to_duration, Ns, MS};
 use crate::endpoints::StubContext;
@@ -34,8 +34,8 @@
     start: Ns,
 }
 
-/// Hands in all messages of the plan, counted from `start` on the testbed's clock, and returns once all clients have
-/// finished.
+/// Hands in all messages of the plan, counted from `start` on the testbed's clock, and returns once all
+/// clients have finished.
 pub async fn run(plan: &Arc<Plan>, addresses: &[SocketAddr], context: &StubContext, start: Ns) {
     let pool = |address: &SocketAddr| ConnectionPool { address: *address, idle: Mutex::default() };
     let pools = addresses.iter().map(pool).collect();
@@ -131,8 +131,8 @@
 
     /// Sends one request on a pooled connection or a new one.
     ///
-    /// Repeats it on a new connection if a pooled one closes before the first byte of the response, as the sender may
-    /// have closed it between requests.
+    /// Repeats it on a new connection if a pooled one closes before the first byte of the response, as the
+    /// sender may have closed it between requests.
     async fn ask(
         &self,
         sender: u32,
--- a/crates/testbed/src/faulty_clients.rs
+++ b/crates/testbed/src/faulty_clients.rs
@@ -1,6 +1,7 @@
 //! Clients that send malformed requests, one of each form that the protocol excludes.
 //!
-//! A sender has to answer each with an error or close the connection in time, and must not accept the message.
+//! A sender has to answer each with an error or close the connection in time, and must not accept the
+//! message.
 use crate::clock::{from_seconds, Ns, MS, SECOND};
 use crate::endpoints::StubContext;
 use crate::facts::FactKind;
@@ -151,7 +152,8 @@
     },
 ];
 
-/// Sends malformed requests at the experiment's rate, cycling through all forms, and returns when all have ended.
+/// Sends malformed requests at the experiment's rate, cycling through all forms, and returns when all have
+/// ended.
 pub async fn run(plan: &Arc<Plan>, senders: &[SocketAddr], context: &StubContext, start: Ns) {
     let rate = plan.spec.clients.strangers;
     if rate <= 0.0 {
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -1,5 +1,5 @@
-//! The links between senders and their peers: puts relays in front of peers whose links have planned faults, and applies
-//! the faults.
+//! The links between senders and their peers: puts relays in front of peers whose links have planned faults,
+//! and applies the faults.
 use crate::clock::Clock;
 use crate::plan::Plan;
 use crate::relay::{LinkCondition, TcpRelay};
@@ -30,8 +30,8 @@
         Links { plan: plan.clone(), clock, conditions, relays: Mutex::default() }
     }
 
-    /// Returns the address at which `target` is reached over a link: that of a new relay if the link has planned faults,
-    /// else the target's own.
+    /// Returns the address at which `target` is reached over a link: that of a new relay if the link has
+    /// planned faults, else the target's own.
     pub fn connect_address(&self, link: Link, sender: u32, target: SocketAddr) -> io::Result<SocketAddr> {
         let Some(condition) = self.conditions.get(&(link, sender)) else { return Ok(target) };
         let mut relays = self.relays.lock().expect("no holder panics");
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,5 +1,5 @@
-//! Senders as child processes: each has a process group of its own, is killed by the kernel if the testbed dies, and
-//! has its log kept up to a size limit.
+//! Senders as child processes: each has a process group of its own, is killed by the kernel if the testbed
+//! dies, and has its log kept up to a size limit.
 use crate::addresses;
 use crate::endpoints::StubContext;
 use crate::facts::{FactKind, ProcessEvent};
@@ -25,7 +25,8 @@
 const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time within which a process that got SIGKILL has ended, unless something is wrong with the machine.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes kept of a process's output. Output beyond it is read and discarded, so that the process does not block.
+/// Bytes kept of a process's output. Output beyond it is read and discarded, so that the process does not
+/// block.
 const MAX_LOG_BYTES: u64 = 64 << 20;
 
 /// Why a sender's process cannot be started or ended.
@@ -160,11 +161,11 @@
 
     /// Starts a process.
     ///
-    /// `other` is the state folder to copy for `Folder::Another`, `known` the last endpoint list of this sender, and
-    /// `seed` the seed of the process's random numbers, which is new for each process.
+    /// `other` is the state folder to copy for `StateFolder::Another`, `known` the last endpoint list of this
+    /// sender, and `seed` the seed of the process's random numbers, which is new for each process.
     ///
-    /// Waits until a process that was told to end has ended, as the new one takes over its address and folder. Does
-    /// nothing if a process runs that was not told to end, as when two restarts overlap.
+    /// Waits until a process that was told to end has ended, as the new one takes over its address and
+    /// folder. Does nothing if a process runs that was not told to end, as when two restarts overlap.
     pub async fn start(
         &mut self,
         folder: StateFolder,
@@ -195,8 +196,8 @@
         self.spawn(&config, false)
     }
 
-    /// Starts a process on a copy of another sender's state folder, which it has to refuse, and then restores its own
-    /// folder, as operators would do.
+    /// Starts a process on a copy of another sender's state folder, which it has to refuse, and then restores
+    /// its own folder, as operators would do.
     async fn start_with_foreign_state(&mut self, other: &Path, config: &Path) -> Result<(), ProcessError> {
         let (state, own) = (self.state_folder(), self.folder.join("state.own"));
         let failed = |error| ProcessError::File { path: state.clone(), error };
@@ -231,7 +232,8 @@
             .stderr(Stdio::piped())
             .process_group(0)
             .kill_on_drop(true);
-        // SAFETY: between fork and exec only one system call is made, which allocates nothing and takes no lock.
+        // SAFETY: between fork and exec only one system call is made, which allocates nothing and takes no
+        // lock.
         unsafe {
             command.pre_exec(|| Ok(set_parent_process_death_signal(Some(Signal::KILL))?));
         }
--- a/crates/testbed/src/relay/tcp.rs
+++ b/crates/testbed/src/relay/tcp.rs
@@ -14,7 +14,8 @@
 
 /// Largest unit of bytes relayed at once: about a TCP segment, so that a cut can fall inside a request.
 const SEGMENT_BYTES: usize = 1_460;
-/// Segments in flight in one direction of a connection; no more are read until one arrives, as with a full TCP window.
+/// Segments in flight in one direction of a connection; no more are read until one arrives, as with a full
+/// TCP window.
 const WINDOW_SEGMENTS: usize = 64;
 
 /// A relayed TCP link. Dropping it closes the listener; open connections end when their peers close them.
--- a/crates/testbed/src/relay/udp.rs
+++ b/crates/testbed/src/relay/udp.rs
@@ -67,7 +67,8 @@
     in_flight: Arc<Semaphore>,
 }
 
-/// The socket that stands for a peer towards the target, and the task that relays replies, which ends with it.
+/// The socket that stands for a peer towards the target, and the task that relays replies, which ends with
+/// it.
 struct Peer {
     far: Arc<UdpSocket>,
     forward_flow: Flow,
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -1,14 +1,14 @@
-//! The page itself.
-use super::plots::{colour, outcomes_key, LATENCY_KEY};
-use super::Shown;
+//! Renders the HTML page.
+use super::plots::{colour, outcomes_legend, LATENCY_LEGEND};
+use super::PlotsOfPlay;
 use crate::clock::{Ns, SECOND};
 use crate::judge::Rule;
 use crate::play::Verdict;
 use maud::{html, Markup, PreEscaped, DOCTYPE};
 use plotters::style::RGBColor;
 
-/// Breaks of rules that are listed one by one.
-const LISTED: usize = 40;
+/// Violations that are listed one by one.
+const MAX_LISTED_VIOLATIONS: usize = 40;
 
 const STYLE: &str = "
 body { font: 15px/1.45 system-ui, sans-serif; color: #222; max-width: 980px; margin: 2em auto; padding: 0 1em }
@@ -22,7 +22,8 @@
 p.note { color: #555; margin: .2em 0 } li { margin: .1em 0 }
 ";
 
-pub fn render(plays: &[Shown]) -> String {
+/// Returns the page with an overview and a section for each play.
+pub fn render(plays: &[PlotsOfPlay]) -> String {
     let title = plays.first().map_or("", |p| p.verdict.title.as_str());
     let page = html! {
         (DOCTYPE)
@@ -43,7 +44,8 @@
     page.into_string()
 }
 
-fn word(verdict: &Verdict) -> Markup {
+/// A verdict in a few words.
+fn verdict_label(verdict: &Verdict) -> Markup {
     match (&verdict.void, verdict.violations.len()) {
         (Some(_), _) => html! { span.void { "void" } },
         (None, 0) => html! { span.kept { "all rules kept" } },
@@ -51,11 +53,13 @@
     }
 }
 
+/// The share of all requests, as a percentage.
 fn percent(verdict: &Verdict, count: usize) -> String {
     format!("{:.1}%", 100.0 * count as f64 / verdict.counts.asked.max(1) as f64)
 }
 
-fn overview(plays: &[Shown]) -> Markup {
+/// The table with a row for each play.
+fn overview(plays: &[PlotsOfPlay]) -> Markup {
     html! {
         table {
             tr {
@@ -63,7 +67,7 @@
                 th.n { "handed back" } th.n { "given up" } th.n { "lost" } th.n { "service G" }
                 th.n { "p50, p99" } th {}
             }
-            @for Shown { verdict: v, .. } in plays {
+            @for PlotsOfPlay { verdict: v, .. } in plays {
                 tr {
                     td { a href={ "#seed-" (v.seed) } { (v.seed) } }
                     td.n { (v.senders) }
@@ -75,25 +79,26 @@
                     td.n { (v.counts.lost) }
                     td.n { (format!("{:.3}", v.service.g)) }
                     td.n { (format!("{:.0}, {:.0} ms", v.latency.p50_ms, v.latency.p99_ms)) }
-                    td { (word(v)) }
+                    td { (verdict_label(v)) }
                 }
             }
         }
     }
 }
 
-fn section(play: &Shown) -> Markup {
+/// The section of one play.
+fn section(play: &PlotsOfPlay) -> Markup {
     let v = &play.verdict;
     html! {
-        h2 id={ "seed-" (v.seed) } { "Seed " (v.seed) ": " (word(v)) }
+        h2 id={ "seed-" (v.seed) } { "Seed " (v.seed) ": " (verdict_label(v)) }
         @if let Some(why) = &v.void { p { "This play says nothing of the senders: " (why) "." } }
-        (breaks(v))
+        (violations(v))
         h3 { "Delivery over time" }
         p.note { "From when a message was asked for, by that second. Shaded: faults, listed below." }
-        (key(LATENCY_KEY.into_iter()))
+        (legend(LATENCY_LEGEND.into_iter()))
         (PreEscaped(&play.latency))
         h3 { "What became of messages" }
-        (key(outcomes_key()))
+        (legend(outcomes_legend()))
         (PreEscaped(&play.outcomes))
         h3 { "Limits" }
         p.note { "Calls a second at the busiest destinations (blue), those refused above the limit (red), the limit (dashed)." }
@@ -109,37 +114,41 @@
     }
 }
 
-fn key(of: impl Iterator<Item = (&'static str, RGBColor)>) -> Markup {
-    html! { p.note { @for (name, c) in of { span.of { span.key.full style=(background(c)) {} (name) } } } }
+/// The legend of a plot.
+fn legend(entries: impl Iterator<Item = (&'static str, RGBColor)>) -> Markup {
+    html! { p.note { @for (name, c) in entries { span.of { span.key.full style=(background(c)) {} (name) } } } }
 }
 
+/// The CSS of a legend's colour.
 fn background(c: RGBColor) -> String {
     format!("background: rgb({}, {}, {})", c.0, c.1, c.2)
 }
 
-fn breaks(v: &Verdict) -> Markup {
-    let of = |rule: Rule| v.violations.iter().filter(|b| b.rule == rule).count();
+/// Violations by rule, and the first ones in full.
+fn violations(v: &Verdict) -> Markup {
+    let count = |rule: Rule| v.violations.iter().filter(|b| b.rule == rule).count();
     html! {
         @if !v.violations.is_empty() {
             table {
-                @for rule in Rule::ALL.into_iter().filter(|r| of(*r) > 0) {
-                    tr { td { (rule.name()) } td.n { (of(rule)) } }
+                @for rule in Rule::ALL.into_iter().filter(|r| count(*r) > 0) {
+                    tr { td { (rule.name()) } td.n { (count(rule)) } }
                 }
             }
-            ul { @for b in v.violations.iter().take(LISTED) { li { (at(b.at)) " " (b.rule.name()) ": " (b.description) } } }
-            @if v.violations.len() > LISTED { p.note { "and " (v.violations.len() - LISTED) " more" } }
+            ul { @for b in v.violations.iter().take(MAX_LISTED_VIOLATIONS) { li { (at(b.at)) " " (b.rule.name()) ": " (b.description) } } }
+            @if v.violations.len() > MAX_LISTED_VIOLATIONS { p.note { "and " (v.violations.len() - MAX_LISTED_VIOLATIONS) " more" } }
         }
     }
 }
 
-fn faults(play: &Shown) -> Markup {
+/// The table of faults.
+fn faults(play: &PlotsOfPlay) -> Markup {
     html! {
         h3 { "Faults" }
         table {
             tr { th { "what" } th.n { "from" } th.n { "to" } }
             @for band in &play.bands {
                 tr {
-                    td { span.key style=(background(colour(band.at_whom))) {} (band.what) }
+                    td { span.key style=(background(colour(band.target))) {} (band.title) }
                     td.n { (at(band.from)) }
                     td.n { (at(band.to)) }
                 }
@@ -148,6 +157,7 @@
     }
 }
 
+/// A time in seconds.
 fn at(at: Ns) -> String {
     format!("{:.1} s", at as f64 / SECOND as f64)
 }
--- a/crates/testbed/src/report/series.rs
+++ b/crates/testbed/src/report/series.rs
@@ -1,4 +1,4 @@
-//! Figures over time, a second each, and the faults as bands.
+//! Time series with a value per second, and the faults as bands of time.
 use crate::clock::{Ns, MS, SECOND};
 use crate::facts::{Fact, FactKind, ProcessEvent, Reply};
 use crate::judge::FactIndex;
@@ -8,38 +8,40 @@
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// Destinations whose limits are shown: those with most traffic.
-const SHOWN: usize = 6;
+/// Number of destinations whose limits are shown, those with most traffic first.
+const SHOWN_DESTINATIONS: usize = 6;
 
-/// Something that went wrong, from when to when.
+/// A fault or a group of simultaneous faults, with its start and end.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Band {
-    pub what: String,
+pub struct FaultBand {
+    pub title: String,
     pub from: Ns,
     pub to: Ns,
-    pub at_whom: Whom,
+    pub target: FaultTarget,
 }
 
+/// What a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whom {
+pub enum FaultTarget {
     Destination,
     Sender,
     Discovery,
     Link,
 }
 
-/// Of the messages asked for in each second: how long their delivery took, in milliseconds.
-pub struct LatencyOf {
+/// Percentiles of the delivery time, in milliseconds, of the messages requested in each second.
+pub struct LatencySeries {
     pub p50: Vec<Option<f64>>,
     pub p99: Vec<Option<f64>>,
 }
 
-/// Of the messages asked for in each second, how many ended in each way, in the order of `ENDS`.
-pub struct OutcomesOf {
-    pub seconds: Vec<[usize; ENDS.len()]>,
+/// Counts of the messages requested in each second by their end, in the order of `END_LABELS`.
+pub struct OutcomeSeries {
+    pub seconds: Vec<[usize; END_LABELS.len()]>,
 }
 
-pub const ENDS: [(RequestEnd, &str); 6] = [
+/// The ways in which a message can end, with their labels.
+pub const END_LABELS: [(RequestEnd, &str); 6] = [
     (RequestEnd::InTime, "in time"),
     (RequestEnd::Late, "late"),
     (RequestEnd::HandedBack, "handed back"),
@@ -48,8 +50,8 @@
     (RequestEnd::Lost, "lost"),
 ];
 
-/// One destination's calls in each second.
-pub struct LimitOf {
+/// One destination's calls in each second, and those of them refused over its rate limit.
+pub struct LimitSeries {
     pub dest: usize,
     pub flagship: bool,
     pub per_s: f64,
@@ -57,48 +59,54 @@
     pub over: Vec<f64>,
 }
 
-/// Seconds in which messages are asked for.
+/// Returns the number of seconds in which messages are requested.
 pub fn seconds(terms: &Terms) -> usize {
     (terms.request_span.max(SECOND) as f64 / SECOND as f64).ceil() as usize
 }
 
+/// Returns the index of the second of a time, limited to the series.
 fn second(at: Ns, seconds: usize) -> usize {
     ((at / SECOND).max(0) as usize).min(seconds - 1)
 }
 
-pub fn latency(served: &[RequestResult], seconds: usize) -> LatencyOf {
-    let empty = Histogram::<u64>::new_with_bounds(1, 3_600_000, 3).expect("the bounds are valid");
-    let mut all = vec![empty; seconds];
-    for one in served {
-        if let Some(took) = one.took {
-            all[second(one.at, seconds)].saturating_record((took.max(0) / MS) as u64);
+/// Computes latency percentiles for each second.
+pub fn latency(results: &[RequestResult], seconds: usize) -> LatencySeries {
+    let empty = Histogram::<u64>::new_with_bounds(1, 3_600_000, 3).expect("valid histogram bounds");
+    let mut histograms = vec![empty; seconds];
+    for result in results {
+        if let Some(took) = result.took {
+            histograms[second(result.at, seconds)].saturating_record((took.max(0) / MS) as u64);
         }
     }
-    let at = |percent| {
-        let of = |h: &Histogram<u64>| (!h.is_empty()).then(|| h.value_at_percentile(percent).max(1) as f64);
-        all.iter().map(of).collect()
+    let percentiles = |percent| {
+        let value =
+            |h: &Histogram<u64>| (!h.is_empty()).then(|| h.value_at_percentile(percent).max(1) as f64);
+        histograms.iter().map(value).collect()
     };
-    LatencyOf { p50: at(50.0), p99: at(99.0) }
+    LatencySeries { p50: percentiles(50.0), p99: percentiles(99.0) }
 }
 
-pub fn outcomes(served: &[RequestResult], seconds: usize) -> OutcomesOf {
-    let mut all = vec![[0; ENDS.len()]; seconds];
-    for one in served {
-        if let Some(place) = ENDS.iter().position(|(end, _)| *end == one.end) {
-            all[second(one.at, seconds)][place] += 1;
+/// Counts the ends of messages for each second.
+pub fn outcomes(results: &[RequestResult], seconds: usize) -> OutcomeSeries {
+    let mut counts = vec![[0; END_LABELS.len()]; seconds];
+    for result in results {
+        if let Some(index) = END_LABELS.iter().position(|(end, _)| *end == result.end) {
+            counts[second(result.at, seconds)][index] += 1;
         }
     }
-    OutcomesOf { seconds: all }
+    OutcomeSeries { seconds: counts }
 }
 
-pub fn limits(case: &FactIndex, destinations: &[Destination], seconds: usize) -> Vec<LimitOf> {
+/// Counts the calls and refusals of the busiest destinations for each second.
+pub fn limits(case: &FactIndex, destinations: &[Destination], seconds: usize) -> Vec<LimitSeries> {
     let mut busiest: Vec<usize> = (0..destinations.len()).collect();
     busiest.sort_by(|a, b| destinations[*b].share.total_cmp(&destinations[*a].share));
-    busiest.truncate(SHOWN);
-    let shown = busiest.into_iter().map(|dest| {
+    busiest.truncate(SHOWN_DESTINATIONS);
+    let series = busiest.into_iter().map(|dest| {
         let (mut calls, mut over) = (vec![0.0; seconds], vec![0.0; seconds]);
-        let own = case.calls.iter().filter(|c| case.terms.dest_of[c.endpoint as usize] as usize == dest);
-        for call in own.filter(|c| c.last < seconds as Ns * SECOND) {
+        let destination_calls =
+            case.calls.iter().filter(|c| case.terms.dest_of[c.endpoint as usize] as usize == dest);
+        for call in destination_calls.filter(|c| c.last < seconds as Ns * SECOND) {
             let at = second(call.last, seconds);
             calls[at] += 1.0;
             if matches!(call.reply, Some((_, Reply::Refused { why: Refusal::Limit, .. }))) {
@@ -106,84 +114,86 @@
             }
         }
         let Destination { flagship, per_s, .. } = destinations[dest];
-        LimitOf { dest, flagship, per_s, calls, over }
+        LimitSeries { dest, flagship, per_s, calls, over }
     });
-    shown.collect()
+    series.collect()
 }
 
-/// All faults of a play. Those of one kind that strike several at once are one band.
-pub fn bands(facts: &[Fact], end: Ns) -> Vec<Band> {
+/// Returns all faults of a play. Faults of one kind that begin together are one band.
+pub fn bands(facts: &[Fact], end: Ns) -> Vec<FaultBand> {
     let mut open: BTreeMap<(String, u32), Ns> = BTreeMap::new();
-    let mut single: Vec<(String, u32, Ns, Ns, Whom)> = Vec::new();
+    let mut single: Vec<(String, u32, Ns, Ns, FaultTarget)> = Vec::new();
     for Fact { at, kind } in facts {
-        let (name, number, begins, whom) = match kind {
+        let (name, number, begins, target) = match kind {
             FactKind::DestinationFault { dest, kind, begins } => {
-                (name(kind), *dest, *begins, Whom::Destination)
+                (name(kind), *dest, *begins, FaultTarget::Destination)
             }
             FactKind::LinkFault { sender, link, kind, begins } => {
-                (format!("{} on link to {}", name(kind), name(link)), *sender, *begins, Whom::Link)
+                (format!("{} on link to {}", name(kind), name(link)), *sender, *begins, FaultTarget::Link)
             }
-            FactKind::DiscoveryFault { kind, begins } => (name(kind), 0, *begins, Whom::Discovery),
+            FactKind::DiscoveryFault { kind, begins } => (name(kind), 0, *begins, FaultTarget::Discovery),
             FactKind::Process { sender, event } => match event {
                 ProcessEvent::Killed | ProcessEvent::Terminated => {
-                    ("restart".to_string(), *sender, true, Whom::Sender)
+                    ("restart".to_string(), *sender, true, FaultTarget::Sender)
                 }
-                ProcessEvent::Ready => ("restart".to_string(), *sender, false, Whom::Sender),
-                ProcessEvent::Paused => ("pause".to_string(), *sender, true, Whom::Sender),
-                ProcessEvent::Continued => ("pause".to_string(), *sender, false, Whom::Sender),
+                ProcessEvent::Ready => ("restart".to_string(), *sender, false, FaultTarget::Sender),
+                ProcessEvent::Paused => ("pause".to_string(), *sender, true, FaultTarget::Sender),
+                ProcessEvent::Continued => ("pause".to_string(), *sender, false, FaultTarget::Sender),
                 _ => continue,
             },
             _ => continue,
         };
         if begins {
-            // What only begins, as a break of connections, is a moment.
-            let moment =
+            // Some faults, such as a reset of connections, have no end.
+            let momentary =
                 name.starts_with("break") || ["discovery-moves", "discovery-resets"].contains(&name.as_str());
-            match moment {
-                true => single.push((name, number, *at, *at, whom)),
+            match momentary {
+                true => single.push((name, number, *at, *at, target)),
                 false => _ = open.entry((name, number)).or_insert(*at),
             }
         } else if let Some(from) = open.remove(&(name.clone(), number)) {
-            single.push((name, number, from, *at, whom));
+            single.push((name, number, from, *at, target));
         }
     }
-    // Senders are ended with the play, and that is no fault.
-    let left = open.into_iter().filter(|((name, _), from)| name != "restart" || *from < end);
-    single.extend(left.map(|((name, number), from)| (name, number, from, end, Whom::Destination)));
+    // Senders are terminated at the end of the play, which is not a fault.
+    let unfinished = open.into_iter().filter(|((name, _), from)| name != "restart" || *from < end);
+    single
+        .extend(unfinished.map(|((name, number), from)| (name, number, from, end, FaultTarget::Destination)));
     merge(single)
 }
 
+/// Returns the outer name of an enum variant.
 fn name(value: &impl serde::Serialize) -> String {
     serde_json::to_value(value).ok().and_then(|v| v.as_str().map(String::from)).unwrap_or_default()
 }
 
-/// Bands of one name that begin within a second of each other.
-fn merge(mut single: Vec<(String, u32, Ns, Ns, Whom)>) -> Vec<Band> {
+/// Merges faults of one name that begin within a second of each other.
+fn merge(mut single: Vec<(String, u32, Ns, Ns, FaultTarget)>) -> Vec<FaultBand> {
     single.sort_by(|a, b| (&a.0, a.2).cmp(&(&b.0, b.2)));
-    let mut bands: Vec<(Band, Vec<u32>)> = Vec::new();
-    for (what, number, from, to, at_whom) in single {
+    let mut bands: Vec<(FaultBand, Vec<u32>)> = Vec::new();
+    for (title, number, from, to, target) in single {
         match bands.last_mut() {
-            Some((last, numbers)) if last.what == what && from - last.from < SECOND => {
+            Some((last, numbers)) if last.title == title && from - last.from < SECOND => {
                 last.to = last.to.max(to);
                 numbers.push(number);
             }
-            _ => bands.push((Band { what, from, to, at_whom }, vec![number])),
+            _ => bands.push((FaultBand { title, from, to, target }, vec![number])),
         }
     }
     let named = bands.into_iter().map(|(mut band, numbers)| {
-        let whom = match band.at_whom {
-            Whom::Destination => "destination",
-            Whom::Sender | Whom::Link => "sender",
-            Whom::Discovery => return band,
+        let noun = match band.target {
+            FaultTarget::Destination => "destination",
+            FaultTarget::Sender | FaultTarget::Link => "sender",
+            FaultTarget::Discovery => return band,
         };
         let listed = numbers.iter().map(u32::to_string).collect::<Vec<_>>().join(", ");
-        band.what = match numbers.len() {
-            1..=4 => format!("{}: {whom} {listed}", band.what),
-            n => format!("{}: {n} {whom}s", band.what),
+        band.title = match numbers.len() {
+            1..=4 => format!("{}: {noun} {listed}", band.title),
+            n => format!("{}: {n} {noun}s", band.title),
         };
         band
     });
-    let mut named: Vec<Band> = named.collect();
+    let mut named: Vec<FaultBand> = named.collect();
     named.sort_by_key(|b| b.from);
     named
 }
@@ -194,7 +204,7 @@
     use crate::spec::EventKind;
 
     #[test]
-    fn faults_that_strike_together_are_one_band_and_the_plays_own_end_is_none() {
+    fn merges_simultaneous_faults_and_ignores_final_termination() {
         let life = |at, sender, life| Fact { at, kind: FactKind::Process { sender, event: life } };
         let shut = |at, begins| Fact {
             at,
@@ -211,7 +221,7 @@
             life(40 * SECOND, 1, ProcessEvent::Terminated),
         ];
         let bands: Vec<(String, Ns, Ns)> =
-            bands(&facts, 30 * SECOND).into_iter().map(|b| (b.what, b.from, b.to)).collect();
+            bands(&facts, 30 * SECOND).into_iter().map(|b| (b.title, b.from, b.to)).collect();
         assert_eq!(
             bands,
             [
--- a/crates/testbed/src/scale/allocation.rs
+++ b/crates/testbed/src/scale/allocation.rs
@@ -1,38 +1,40 @@
-//! An allocator that counts the bytes in use by thread, for slopes of memory that repeat to the byte.
+//! An allocator that counts the bytes in use per thread, so that memory measurements repeat to the byte.
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 
 thread_local! {
-    /// What this thread asked for and did not give back; below zero where it gave back what others asked for.
+    /// Bytes allocated minus bytes freed by this thread; negative if it freed what other threads had
+    /// allocated.
     static IN_USE: Cell<isize> = const { Cell::new(0) };
-    static MOST: Cell<isize> = const { Cell::new(0) };
+    /// The highest value of `IN_USE` since it was last taken.
+    static PEAK: Cell<isize> = const { Cell::new(0) };
 }
 
-/// The system's allocator with a count; a binary that wants one makes it its `#[global_allocator]`.
-pub struct Counting;
+/// The system allocator with counters; a binary enables it as its `#[global_allocator]`.
+pub struct CountingAllocator;
 
-impl Counting {
-    /// Bytes that this thread has asked for and not given back, without the allocator's own overhead.
+impl CountingAllocator {
+    /// Returns the bytes that this thread has in use, without the allocator's own overhead.
     pub fn in_use(&self) -> usize {
         IN_USE.get().max(0) as usize
     }
 
-    /// The most that was in use since the last call.
-    pub fn take_most(&self) -> usize {
-        MOST.replace(IN_USE.get()).max(0) as usize
+    /// Returns the peak of the bytes in use since the last call.
+    pub fn take_peak(&self) -> usize {
+        PEAK.replace(IN_USE.get()).max(0) as usize
     }
 }
 
 fn add(bytes: isize) {
-    // Nothing is counted while the thread ends.
+    // The thread-local counters are gone while the thread ends, and nothing is counted then.
     let _ = IN_USE.try_with(|in_use| {
         in_use.set(in_use.get() + bytes);
-        let _ = MOST.try_with(|most| most.set(most.get().max(in_use.get())));
+        let _ = PEAK.try_with(|peak| peak.set(peak.get().max(in_use.get())));
     });
 }
 
-// SAFETY: every call is passed on unchanged to the system's allocator; the counts allocate nothing.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is passed on unchanged to the system allocator; counting does not allocate.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         add(layout.size() as isize);
         System.alloc(layout)
--- a/crates/testbed/src/scale/change_log.rs
+++ b/crates/testbed/src/scale/change_log.rs
@@ -1,80 +1,95 @@
-//! The list's versions: what changed since any of them, and the whole list, as bytes that all answers share.
+//! Versions of the endpoint list: the changes since any version and the whole list, as bytes shared by all
+//! responses.
 use super::deployment::{list_head, Change, Deployment, LIST_END};
 use crate::platform::list::Lifecycle;
 use bytes::Bytes;
 use std::collections::HashMap;
 
-/// Entries in one block of the whole list; only blocks with a change are written anew.
-const BLOCK: u32 = 1_024;
+/// Entries in one block of the whole list; only blocks with a change are serialised again.
+const BLOCK_ENTRIES: u32 = 1_024;
 
-/// What a list or a watch is answered with: the parts of a body, in order.
+/// The response to a request for the list or its changes: the parts of the body, in order.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct ListResponse {
+    /// Whether this is the whole list rather than changes.
     pub reset: bool,
     pub parts: Vec<Bytes>,
 }
 
-impl Answer {
+impl ListResponse {
+    /// Returns the length of the body in bytes.
     pub fn len(&self) -> usize {
         self.parts.iter().map(Bytes::len).sum()
     }
 
+    /// Returns whether the body is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
+/// A deployment with the history of its changes.
 pub struct ChangeLog {
     deployment: Deployment,
     generation: u64,
-    /// Versions up to here can't be told changes.
-    floor: u64,
-    /// Which entries each version touched, in order.
-    log: Vec<(u64, u32)>,
+    /// The oldest version for which the changes since are known.
+    oldest_version: u64,
+    /// The version and number of each changed entry, in order.
+    changes: Vec<(u64, u32)>,
     blocks: Vec<Option<Bytes>>,
-    /// Changes since a version as they were answered; of this generation only.
-    answered: HashMap<u64, Bytes>,
+    /// Serialised changes by the version since which they are, for the current generation only.
+    delta_cache: HashMap<u64, Bytes>,
 }
 
 impl ChangeLog {
+    /// Starts at version 1 without history.
     pub fn new(deployment: Deployment) -> ChangeLog {
-        let blocks = vec![None; deployment.endpoints().div_ceil(BLOCK) as usize];
-        ChangeLog { deployment, generation: 1, floor: 1, log: Vec::new(), blocks, answered: HashMap::new() }
+        let blocks = vec![None; deployment.endpoints().div_ceil(BLOCK_ENTRIES) as usize];
+        ChangeLog {
+            deployment,
+            generation: 1,
+            oldest_version: 1,
+            changes: Vec::new(),
+            blocks,
+            delta_cache: HashMap::new(),
+        }
     }
 
+    /// Returns the current version of the list.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
+    /// Returns the deployment in its current state.
     pub fn deployment(&self) -> &Deployment {
         &self.deployment
     }
 
-    /// Makes a change under a new version, and tells that one.
+    /// Applies a change under a new version, and returns the version.
     pub fn apply(&mut self, change: Change) -> u64 {
         self.generation += 1;
         for number in self.deployment.apply(change) {
-            self.log.push((self.generation, number));
-            let block = (number / BLOCK) as usize;
+            self.changes.push((self.generation, number));
+            let block = (number / BLOCK_ENTRIES) as usize;
             if block >= self.blocks.len() {
                 self.blocks.push(None);
             }
             self.blocks[block] = None;
         }
-        self.answered.clear();
+        self.delta_cache.clear();
         self.generation
     }
 
-    /// Forgets what has changed: whoever asks next gets the whole list, under a new version.
-    pub fn forget(&mut self) -> u64 {
+    /// Discards the history, so that every next request gets the whole list, under a new version.
+    pub fn discard_history(&mut self) -> u64 {
         self.generation += 1;
-        self.floor = self.generation;
-        self.log.clear();
-        self.answered.clear();
+        self.oldest_version = self.generation;
+        self.changes.clear();
+        self.delta_cache.clear();
         self.generation
     }
 
-    /// Has the list differ in every entry from the one before, as far as weights go, and be told whole.
+    /// Changes the weight of every ready entry and discards the history, so that the whole list is sent.
     pub fn change_all(&mut self) -> u64 {
         for number in 0..self.deployment.endpoints() {
             let weight = self.deployment.endpoint(number).weight + 0.5;
@@ -83,38 +98,39 @@
             }
         }
         self.blocks.fill(None);
-        self.forget()
+        self.discard_history()
     }
 
-    /// The whole list, or what changed since `index`.
-    pub fn since(&mut self, index: Option<u64>) -> Answer {
+    /// Returns the changes since version `index`, or the whole list if there is no index or its history is
+    /// unknown.
+    pub fn since(&mut self, index: Option<u64>) -> ListResponse {
         match index {
-            Some(index) if index >= self.floor && index <= self.generation => {
-                Answer { reset: false, parts: vec![self.changes(index)] }
+            Some(index) if index >= self.oldest_version && index <= self.generation => {
+                ListResponse { reset: false, parts: vec![self.changes_since(index)] }
             }
-            _ => self.whole(),
+            _ => self.whole_list(),
         }
     }
 
-    fn changes(&mut self, index: u64) -> Bytes {
-        if let Some(bytes) = self.answered.get(&index) {
+    fn changes_since(&mut self, index: u64) -> Bytes {
+        if let Some(bytes) = self.delta_cache.get(&index) {
             return bytes.clone();
         }
-        let from = self.log.partition_point(|(generation, _)| *generation <= index);
-        let mut numbers: Vec<u32> = self.log[from..].iter().map(|(_, number)| *number).collect();
+        let from = self.changes.partition_point(|(generation, _)| *generation <= index);
+        let mut numbers: Vec<u32> = self.changes[from..].iter().map(|(_, number)| *number).collect();
         numbers.sort_unstable();
         numbers.dedup();
         let mut body = list_head(self.generation, false).into_bytes();
         self.deployment
             .write_entries(numbers.into_iter(), |_| true, &mut body)
-            .expect("memory takes all writes");
+            .expect("writing to a Vec cannot fail");
         body.extend_from_slice(LIST_END);
         let body = Bytes::from(body);
-        self.answered.insert(index, body.clone());
+        self.delta_cache.insert(index, body.clone());
         body
     }
 
-    fn whole(&mut self) -> Answer {
+    fn whole_list(&mut self) -> ListResponse {
         let mut parts = vec![Bytes::from(list_head(self.generation, true))];
         for number in 0..self.blocks.len() {
             let block = self.block(number);
@@ -127,19 +143,19 @@
             parts.push(block);
         }
         parts.push(Bytes::from_static(LIST_END));
-        Answer { reset: true, parts }
+        ListResponse { reset: true, parts }
     }
 
     fn block(&mut self, number: usize) -> Bytes {
         if let Some(bytes) = &self.blocks[number] {
             return bytes.clone();
         }
-        let first = number as u32 * BLOCK;
-        let end = (first + BLOCK).min(self.deployment.endpoints());
+        let first = number as u32 * BLOCK_ENTRIES;
+        let end = (first + BLOCK_ENTRIES).min(self.deployment.endpoints());
         let mut bytes = Vec::new();
         self.deployment
             .write_entries(first..end, |l| l != Lifecycle::Gone, &mut bytes)
-            .expect("memory takes all writes");
+            .expect("writing to a Vec cannot fail");
         bytes.shrink_to_fit();
         let bytes = Bytes::from(bytes);
         self.blocks[number] = Some(bytes.clone());
@@ -154,12 +170,12 @@
     use crate::seed::Seed;
     use serde_json::Value;
 
-    fn body(answer: &Answer) -> Value {
-        serde_json::from_slice(&answer.parts.concat()).unwrap()
+    fn body(response: &ListResponse) -> Value {
+        serde_json::from_slice(&response.parts.concat()).unwrap()
     }
 
     #[test]
-    fn a_watch_from_any_version_gets_just_the_changes_since() {
+    fn request_with_version_gets_only_later_changes() {
         let deployment = Deployment::new(Seed(5), Size::single(3_000), Addresses::Synthetic);
         let mut log = ChangeLog::new(deployment);
         let whole = body(&log.since(None));
@@ -171,16 +187,16 @@
         assert_eq!(log.apply(Change::Drain(1_024)), 3);
         assert_eq!(log.apply(Change::Drain(1_024)), 4);
         let count = |log: &mut ChangeLog, index| {
-            let answer = log.since(Some(index));
-            assert!(!answer.reset);
-            body(&answer)["instances"].as_array().unwrap().len()
+            let response = log.since(Some(index));
+            assert!(!response.reset);
+            body(&response)["instances"].as_array().unwrap().len()
         };
         assert_eq!([1, 2, 3, 4].map(|index| count(&mut log, index)), [3, 1, 1, 0]);
         assert_eq!(body(&log.since(None))["instances"].as_array().unwrap().len(), 3_000);
     }
 
     #[test]
-    fn a_version_that_is_forgotten_or_was_never_given_gets_the_whole_list() {
+    fn discarded_or_unknown_version_gets_whole_list() {
         let deployment = Deployment::new(Seed(5), Size::single(10), Addresses::Synthetic);
         let mut log = ChangeLog::new(deployment);
         assert!(log.since(Some(9)).reset);
--- a/crates/testbed/src/scale/deployment.rs
+++ b/crates/testbed/src/scale/deployment.rs
@@ -1,52 +1,57 @@
-//! A synthetic deployment of any size, drawn from a seed, and its list of endpoints in discovery's form.
+//! A synthetic deployment of any size, drawn from a seed, and its endpoint list in discovery's JSON form.
 use crate::platform::list::Lifecycle;
 use crate::seed::Seed;
 use rand::{Rng, RngExt};
 use std::io::{self, Write};
 use std::net::{Ipv4Addr, SocketAddr};
 
+/// Regions, each with its own address of the list service.
 pub const REGIONS: u32 = 4;
-/// Zones of all regions: four in the first, three in each other.
+/// Zones in all regions: four in the first region, three in each other.
 pub const ZONES: u32 = 13;
+/// Machine types of endpoints.
 pub const MACHINE_TYPES: [&str; 3] = ["flagship", "independent", "small"];
-/// Destinations of a thousand that are down at any time.
+/// Destinations per thousand that are down at any time.
 pub const DOWN_IN_1000: u32 = 11;
-/// Odd, so that numbers are spread without two becoming one.
-const SPREAD: u32 = 0x9e37_79b1;
+/// Multiplier of a multiplicative hash; odd, so that the hash is a bijection on 32 bits.
+const HASH_MULTIPLIER: u32 = 0x9e37_79b1;
 
+/// Returns the region that a zone belongs to.
 pub fn region_of_zone(zone: u32) -> u32 {
     zone % REGIONS
 }
 
+/// Returns a zone's name in the list and in the settings.
 pub fn zone_name(zone: u32) -> String {
     format!("r{}-zone-{}", region_of_zone(zone) + 1, zone / REGIONS + 1)
 }
 
-/// How large a deployment is.
+/// The size of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Size {
     pub destinations: u32,
-    /// In the mean; at least 1. What is over 1 stands at destinations that are drawn to have several.
+    /// Mean number of endpoints per destination, at least 1; the excess over 1 goes to randomly drawn
+    /// destinations.
     pub endpoints_per_destination: f64,
 }
 
 impl Size {
-    /// One endpoint for each destination.
+    /// Returns the size with one endpoint for each destination.
     pub fn single(destinations: u32) -> Size {
         Size { destinations, endpoints_per_destination: 1.0 }
     }
 }
 
-/// What the list gives as addresses.
+/// The addresses that the list gives for endpoints.
 #[derive(Clone, Debug)]
 pub enum Addresses {
-    /// One for each endpoint, in 10.0.0.0/8: nothing listens there, and nothing may call them.
+    /// One for each endpoint, in 10.0.0.0/8. Nothing listens there, so nothing may call them.
     Synthetic,
-    /// Endpoints share few sockets; those of destinations that are down are given one that refuses connections.
+    /// Endpoints share the `live` sockets; those of destinations that are down all get the address `down`.
     Shared { live: Vec<SocketAddr>, down: SocketAddr },
 }
 
-/// An endpoint that is or was listed.
+/// An endpoint that is or was in the list.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
     pub destination: u32,
@@ -54,15 +59,18 @@
     pub weight: f32,
 }
 
-/// One change of configuration.
+/// A change of the deployment, by the endpoint's number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// The endpoint is gone and another stands in for it.
+    /// The endpoint is gone, and a new one takes its place.
     Replace(u32),
+    /// The endpoint starts to drain.
     Drain(u32),
+    /// The endpoint has a new weight.
     Weight(u32, f32),
 }
 
+/// The endpoints of all destinations.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     seed: Seed,
@@ -72,15 +80,16 @@
 }
 
 impl Deployment {
+    /// Draws a deployment from a seed.
     pub fn new(seed: Seed, size: Size, addresses: Addresses) -> Deployment {
         let mut random = seed.stream("deployment", 0);
         let mut endpoints =
             Vec::with_capacity((f64::from(size.destinations) * size.endpoints_per_destination) as usize);
-        let further = (size.endpoints_per_destination - 1.0).max(0.0);
+        let mean_extra = (size.endpoints_per_destination - 1.0).max(0.0);
         for destination in 0..size.destinations {
-            // Geometric: a third more often than not has none, a few have many.
+            // The number of extra endpoints is geometric: most destinations have none, a few have many.
             let mut count = 1;
-            while random.random::<f64>() < further / (1.0 + further) {
+            while random.random::<f64>() < mean_extra / (1.0 + mean_extra) {
                 count += 1;
             }
             for _ in 0..count {
@@ -91,41 +100,47 @@
         Deployment { seed, size, addresses, endpoints }
     }
 
+    /// Returns the number of destinations.
     pub fn destinations(&self) -> u32 {
         self.size.destinations
     }
 
-    /// Numbers given so far; what is gone keeps its own.
+    /// Returns the count of endpoints so far, including those that are gone, as numbers are not reused.
     pub fn endpoints(&self) -> u32 {
         self.endpoints.len() as u32
     }
 
+    /// Returns the endpoint of a number.
     pub fn endpoint(&self, number: u32) -> Endpoint {
         self.endpoints[number as usize]
     }
 
-    /// Endpoints that the whole list names.
-    pub fn listed(&self) -> usize {
+    /// Returns the number of endpoints in the whole list.
+    pub fn listed_endpoints(&self) -> usize {
         self.endpoints.iter().filter(|e| e.lifecycle != Lifecycle::Gone).count()
     }
 
+    /// Returns the instance id of an endpoint.
     pub fn name(&self, number: u32) -> String {
-        format!("s-{:08x}", (number ^ self.seed.0 as u32).wrapping_mul(SPREAD))
+        format!("s-{:08x}", (number ^ self.seed.0 as u32).wrapping_mul(HASH_MULTIPLIER))
     }
 
+    /// Returns the zone of an endpoint.
     pub fn zone(&self, number: u32) -> u32 {
-        (number.wrapping_mul(SPREAD) >> 8) % ZONES
+        (number.wrapping_mul(HASH_MULTIPLIER) >> 8) % ZONES
     }
 
+    /// Returns the machine type of an endpoint.
     pub fn machine_type(&self, number: u32) -> &'static str {
-        MACHINE_TYPES[(number.wrapping_mul(SPREAD) >> 4) as usize % MACHINE_TYPES.len()]
+        MACHINE_TYPES[(number.wrapping_mul(HASH_MULTIPLIER) >> 4) as usize % MACHINE_TYPES.len()]
     }
 
-    /// Whether the destination is down for the whole of a run.
+    /// Returns whether the destination is down for the whole run.
     pub fn is_down(&self, destination: u32) -> bool {
-        (destination ^ self.seed.0 as u32).wrapping_mul(SPREAD) / 1_000 % 1_000 < DOWN_IN_1000
+        (destination ^ self.seed.0 as u32).wrapping_mul(HASH_MULTIPLIER) / 1_000 % 1_000 < DOWN_IN_1000
     }
 
+    /// Returns the address that the list gives for an endpoint.
     pub fn address(&self, number: u32) -> SocketAddr {
         match &self.addresses {
             Addresses::Synthetic => {
@@ -137,9 +152,11 @@
         }
     }
 
-    /// Draws a change of a ready endpoint: mostly a replacement, as of one that was restarted elsewhere, else a weight.
-    /// None is drained, as a destination whose only endpoint drains could not be delivered to.
-    pub fn draw(&self, random: &mut impl Rng) -> Change {
+    /// Draws a change of a ready endpoint: 6 of 10 are replacements, as after a restart elsewhere, the rest
+    /// new weights.
+    ///
+    /// None is a drain, as a destination whose only endpoint drains could not be delivered to.
+    pub fn draw_change(&self, random: &mut impl Rng) -> Change {
         let number = loop {
             let number = random.random_range(0..self.endpoints());
             if self.endpoint(number).lifecycle == Lifecycle::Ready {
@@ -152,7 +169,7 @@
         }
     }
 
-    /// Makes a change, and tells the endpoints whose entries it touches.
+    /// Applies a change, and returns the numbers of the endpoints whose entries it touches.
     pub fn apply(&mut self, change: Change) -> Vec<u32> {
         match change {
             Change::Replace(number) => {
@@ -188,7 +205,7 @@
         )
     }
 
-    /// Writes entries with commas between them, in order, those that `keep` lets through.
+    /// Writes the entries whose lifecycle passes `keep`, in order and separated by commas.
     pub fn write_entries(
         &self,
         numbers: impl Iterator<Item = u32>,
@@ -205,7 +222,7 @@
         Ok(())
     }
 
-    /// Writes the whole list, one entry in memory at a time.
+    /// Writes the whole list without holding more than one entry in memory.
     pub fn write_list(&self, generation: u64, to: &mut impl Write) -> io::Result<()> {
         write!(to, "{}", list_head(generation, true))?;
         self.write_entries(0..self.endpoints(), |l| l != Lifecycle::Gone, to)?;
@@ -213,8 +230,10 @@
     }
 }
 
+/// The end of a serialised list.
 pub const LIST_END: &[u8] = b"]}";
 
+/// Returns the start of a serialised list, up to its first entry.
 pub fn list_head(generation: u64, reset: bool) -> String {
     format!("{{\"generation\":{generation},\"reset\":{reset},\"instances\":[")
 }
@@ -232,21 +251,21 @@
     }
 
     #[test]
-    fn the_list_names_each_endpoint_once_and_leaves_out_what_is_gone() {
+    fn list_has_each_endpoint_once_and_no_gone_ones() {
         let mut deployment = Deployment::new(Seed(5), Size::single(1_000), Addresses::Synthetic);
         assert_eq!(deployment.apply(Change::Replace(3)), [3, 1_000]);
         assert_eq!(deployment.apply(Change::Drain(4)), [4]);
         let list = list(&deployment);
         let entries = list["instances"].as_array().unwrap();
         let names: BTreeSet<&str> = entries.iter().map(|e| e["instanceId"].as_str().unwrap()).collect();
-        assert_eq!((names.len(), entries.len(), deployment.listed()), (1_000, 1_000, 1_000));
+        assert_eq!((names.len(), entries.len(), deployment.listed_endpoints()), (1_000, 1_000, 1_000));
         assert!(!names.contains(deployment.name(3).as_str()));
         assert_eq!(entries[3]["lifecycle"], "Terminating");
         assert_eq!(entries[999]["cell"], 3);
     }
 
     #[test]
-    fn shares_come_out_as_asked_for() {
+    fn drawn_shares_match_the_configured_ones() {
         let size = Size { destinations: 20_000, endpoints_per_destination: 1.6 };
         let deployment = Deployment::new(Seed(6), size, Addresses::Synthetic);
         let mean = f64::from(deployment.endpoints()) / 20_000.0;
--- a/crates/testbed/src/scale/fleet.rs
+++ b/crates/testbed/src/scale/fleet.rs
@@ -1,9 +1,9 @@
-//! A fleet of hollow senders in one process: each has a real watch on a real socket, the real catalogue and its intake,
-//! and a real decision module, but no clients and no endpoints to call.
+//! A fleet of reduced senders in one process: each has a real watch on a socket, the real catalogue with its
+//! intake and a real decision module, but neither clients nor endpoints.
 //!
-//! The process has the memory of one sender's catalogue, not of thousands: they begin with one snapshot, and a sender
-//! that has worked out its next snapshot takes over the one of the same version that was kept first. So the work of
-//! each is measured, and memory by sender is not.
+//! They share catalogue snapshots, as thousands of catalogues would not fit in memory: all start with one
+//! snapshot, and a sender that has built its next snapshot replaces it by the first one built of the same
+//! version. So the processor time of each sender is measured, but its memory is not.
 use super::deployment::{zone_name, MACHINE_TYPES, REGIONS, ZONES};
 use super::real_sender;
 use crate::clock::Clock;
@@ -28,49 +28,52 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How much longer than it waits a watch may take, as with the real sender.
-const GRACE: Duration = Duration::from_secs(1);
-/// The longest pause after a watch that failed.
-const LONGEST_PAUSE: Duration = Duration::from_millis(2_500);
-/// How long a call that need not wait may take.
-const AT_ONCE: Duration = Duration::from_millis(2_500);
-/// Snapshots that are kept for others to take over.
-const KEPT: usize = 64;
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// Time that a watch may take beyond its wait, as in the real sender.
+const WATCH_GRACE: Duration = Duration::from_secs(1);
+/// Upper bound of the random delay after a failed watch.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(2_500);
+/// Timeout of a request that does not wait for changes.
+const IMMEDIATE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Number of latest snapshots kept for sharing.
+const MAX_SHARED_SNAPSHOTS: usize = 64;
+/// Interval at which the progress of the fleet is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The words of this deployment, as its settings number them.
-pub fn words() -> SettingsNames {
+/// Returns the names of this deployment's machine types and zones, in the order in which its settings number
+/// them.
+pub fn settings_names() -> SettingsNames {
     SettingsNames {
         kinds: MACHINE_TYPES.map(str::to_string).to_vec(),
         zones: (0..ZONES).map(zone_name).collect(),
     }
 }
 
-/// The settings of a sender of this deployment.
+/// Returns the decision module's settings for a sender of this deployment.
 pub fn module_settings() -> Settings {
-    settings::read(&real_sender::settings(real_sender::FLEET)).expect("the settings of a play are read").0
+    settings::read(&real_sender::settings(real_sender::FLEET_SENDERS)).expect("drawn settings are valid").0
 }
 
-/// Which versions are in force where, and since when.
+/// Which version of the list each sender has applied, and how long that took.
 pub struct Progress {
-    /// By sender.
+    /// The applied version, by sender.
     versions: Vec<AtomicU64>,
+    /// When each version was published.
     published: Mutex<BTreeMap<u64, Instant>>,
     times: Mutex<Times>,
 }
 
 struct Times {
-    /// Microseconds from a change to its being in force, over all changes and senders.
+    /// Microseconds from publishing a change to applying it, over all changes and senders.
     each: Histogram<u64>,
-    /// By version: when it was in force at the last sender that has it, and how many have it.
+    /// By version: the time until the last sender so far applied it, and how many senders have it.
     last: BTreeMap<u64, (Duration, usize)>,
 }
 
-/// Times from a change to its being in force.
+/// Times from publishing a change to applying it.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
-pub struct InForce {
+pub struct PropagationTimes {
     pub changes: usize,
-    /// Changes that all senders have.
+    /// Changes that all senders have applied.
     pub everywhere: usize,
     pub each_p50_ms: f64,
     pub each_p99_ms: f64,
@@ -89,12 +92,13 @@
         }
     }
 
-    /// To be called just before a version is published.
-    pub fn publish(&self, version: u64) {
+    /// Notes the time of publication; to be called just before a version is published.
+    pub fn note_published(&self, version: u64) {
         self.published.lock().expect("no holder panics").insert(version, Instant::now());
     }
 
-    fn in_force(&self, sender: usize, version: u64) {
+    /// Notes that a sender has applied a version, and all versions before it.
+    fn note_applied(&self, sender: usize, version: u64) {
         let (now, before) = (Instant::now(), self.versions[sender].swap(version, Ordering::Relaxed));
         if version <= before {
             return;
@@ -110,143 +114,146 @@
         }
     }
 
-    /// How many senders have a version or a later one.
-    pub fn have(&self, version: u64) -> usize {
+    /// Returns how many senders have applied a version or a later one.
+    pub fn senders_with(&self, version: u64) -> usize {
         self.versions.iter().filter(|v| v.load(Ordering::Relaxed) >= version).count()
     }
 
-    /// Waits until all senders have a version.
-    pub async fn all_have(&self, version: u64, within: Duration) -> bool {
-        self.at_least(self.versions.len(), version, within).await
+    /// Waits until all senders have applied a version; returns false after the timeout.
+    pub async fn wait_for_all(&self, version: u64, timeout: Duration) -> bool {
+        self.wait_for(self.versions.len(), version, timeout).await
     }
 
-    /// Waits until so many senders have a version.
-    pub async fn at_least(&self, senders: usize, version: u64, within: Duration) -> bool {
-        let until = Instant::now() + within;
-        while self.have(version) < senders {
-            if Instant::now() >= until {
+    /// Waits until `senders` senders have applied a version; returns false after the timeout.
+    pub async fn wait_for(&self, senders: usize, version: u64, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        while self.senders_with(version) < senders {
+            if Instant::now() >= deadline {
                 return false;
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         true
     }
 
-    /// What was seen since the last call.
-    pub fn take(&self) -> InForce {
+    /// Returns the times since the last call.
+    pub fn take_times(&self) -> PropagationTimes {
         let mut times = self.times.lock().expect("no holder panics");
         let each = std::mem::replace(&mut times.each, histogram());
         let last = std::mem::take(&mut times.last);
-        let mut by_last = histogram();
-        last.values().for_each(|(took, _)| by_last.saturating_record(took.as_micros() as u64));
-        let ms = |of: &Histogram<u64>, share: f64| of.value_at_quantile(share) as f64 / 1e3;
-        InForce {
+        let mut last_sender = histogram();
+        last.values().for_each(|(took, _)| last_sender.saturating_record(took.as_micros() as u64));
+        let ms = |times: &Histogram<u64>, share: f64| times.value_at_quantile(share) as f64 / 1e3;
+        PropagationTimes {
             changes: last.len(),
             everywhere: last.values().filter(|(_, count)| *count >= self.versions.len()).count(),
             each_p50_ms: ms(&each, 0.5),
             each_p99_ms: ms(&each, 0.99),
-            last_sender_p50_ms: ms(&by_last, 0.5),
-            last_sender_p99_ms: ms(&by_last, 0.99),
-            last_sender_max_ms: ms(&by_last, 1.0),
+            last_sender_p50_ms: ms(&last_sender, 0.5),
+            last_sender_p99_ms: ms(&last_sender, 0.99),
+            last_sender_max_ms: ms(&last_sender, 1.0),
         }
     }
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 600_000_000, 3).expect("these bounds are allowed")
+    Histogram::new_with_bounds(1, 600_000_000, 3).expect("valid histogram bounds")
 }
 
-/// What a fleet is like.
+/// The parameters of a fleet.
 #[derive(Clone)]
-pub struct Spec {
+pub struct FleetSpec {
     pub seed: Seed,
     pub senders: usize,
-    /// A watch waits for between half of this and all of it.
+    /// The longest wait of a watch; each one is drawn between half of it and all of it.
     pub watch: Duration,
-    /// Where each region's senders find the list.
+    /// The list service's address for each region.
     pub discovery: Vec<SocketAddr>,
-    /// What all begin with.
+    /// The catalogue that all senders start with.
     pub catalogue: Catalogue,
 }
 
-/// Snapshots that were worked out first, by version.
-type Shared = Arc<Mutex<BTreeMap<u64, Catalogue>>>;
+/// The first snapshot that was built of each version.
+type SharedSnapshots = Arc<Mutex<BTreeMap<u64, Catalogue>>>;
 
+/// A running fleet.
 pub struct Fleet {
     pub progress: Arc<Progress>,
     tasks: JoinSet<()>,
 }
 
 impl Fleet {
-    /// Starts all senders' watches on the runtime that this is called on.
-    pub fn start(spec: &Spec) -> Fleet {
+    /// Starts the watches of all senders on the current runtime.
+    pub fn start(spec: &FleetSpec) -> Fleet {
         let version = spec.catalogue.generation().unwrap_or_default();
         let progress = Arc::new(Progress::new(spec.senders, version));
-        let (settings, words) = (module_settings(), Arc::new(words()));
-        let shared = Shared::default();
+        let (settings, names) = (module_settings(), Arc::new(settings_names()));
+        let snapshots = SharedSnapshots::default();
         let mut tasks = JoinSet::new();
         for number in 0..spec.senders {
-            let hollow = Hollow {
+            let sender = ListOnlySender {
                 number,
                 discovery: spec.discovery[number % REGIONS as usize],
                 watch: spec.watch,
                 random: spec.seed.stream("hollow", number as u64),
                 policy: policy::Sender::new(settings.clone(), number as u64),
                 list: OnDemandList::default(),
-                words: words.clone(),
+                names: names.clone(),
                 catalogue: spec.catalogue.clone(),
-                shared: shared.clone(),
+                snapshots: snapshots.clone(),
                 progress: progress.clone(),
                 clock: Clock::new(Instant::now()),
             };
-            tasks.spawn(hollow.run());
+            tasks.spawn(sender.run());
         }
         Fleet { progress, tasks }
     }
 
+    /// Ends all senders.
     pub async fn end(mut self) {
         self.tasks.shutdown().await;
     }
 }
 
-struct Hollow {
+/// A sender that has a watch, a catalogue and a decision module, and nothing else.
+struct ListOnlySender {
     number: usize,
     discovery: SocketAddr,
     watch: Duration,
     random: ChaCha8Rng,
     policy: policy::Sender,
     list: OnDemandList,
-    words: Arc<SettingsNames>,
+    names: Arc<SettingsNames>,
     catalogue: Catalogue,
-    shared: Shared,
+    snapshots: SharedSnapshots,
     progress: Arc<Progress>,
     clock: Clock,
 }
 
-impl Hollow {
+impl ListOnlySender {
     async fn run(mut self) {
-        let (mut link, mut failed) = (None, false);
+        let (mut connection, mut failed) = (None, false);
         loop {
-            // After a failure what was missed is asked for, not waited for.
+            // After a failure it asks for missed changes without waiting for new ones.
             let wait = match failed {
                 true => Duration::ZERO,
                 false => self.watch.mul_f64(self.random.random_range(0.5..1.0)),
             };
-            let allowed = if wait.is_zero() { AT_ONCE } else { wait + GRACE };
-            let body = timeout(allowed, self.get(&mut link, wait)).await.ok().flatten();
-            failed = !body.is_some_and(|body| self.take(&body));
+            let allowed_time = if wait.is_zero() { IMMEDIATE_TIMEOUT } else { wait + WATCH_GRACE };
+            let body = timeout(allowed_time, self.request_list(&mut connection, wait)).await.ok().flatten();
+            failed = !body.is_some_and(|body| self.load(&body));
             if failed {
-                link = None;
-                sleep(LONGEST_PAUSE.mul_f64(self.random.random())).await;
+                connection = None;
+                sleep(MAX_RETRY_DELAY.mul_f64(self.random.random())).await;
             }
         }
     }
 
-    async fn get(&self, link: &mut Option<Connection>, wait: Duration) -> Option<Vec<u8>> {
-        if link.is_none() {
-            *link = Some(Connection::new(TcpStream::connect(self.discovery).await.ok()?, self.clock));
+    async fn request_list(&self, connection: &mut Option<Connection>, wait: Duration) -> Option<Vec<u8>> {
+        if connection.is_none() {
+            *connection = Some(Connection::new(TcpStream::connect(self.discovery).await.ok()?, self.clock));
         }
-        let open = link.as_mut()?;
+        let open = connection.as_mut()?;
         let index = self.catalogue.generation().unwrap_or_default();
         let request = format!(
             "GET /v1/servers?index={index}&wait={} HTTP/1.1\r\nhost: {}\r\n\r\n",
@@ -254,43 +261,43 @@
             self.discovery
         );
         open.write(request.as_bytes()).await.ok()?;
-        let answer = open.read_response().await.ok()?;
-        (answer.start == Start::Status(200)).then_some(answer.body)
+        let response = open.read_response().await.ok()?;
+        (response.start == Start::Status(200)).then_some(response.body)
     }
 
-    /// Puts a list in force.
-    fn take(&mut self, body: &[u8]) -> bool {
+    /// Reads a response's list and applies it; returns whether it was valid.
+    fn load(&mut self, body: &[u8]) -> bool {
         let limits = Limits::of_memory((real_sender::MEMORY_MB << 20) as usize);
         let Ok(taken) = intake::read(body, &self.catalogue, &limits) else { return false };
         let (generation, changed) = (taken.generation, taken.reset || !taken.changed.is_empty());
         if changed {
             self.apply(taken);
         }
-        self.progress.in_force(self.number, generation);
+        self.progress.note_applied(self.number, generation);
         true
     }
 
     fn apply(&mut self, taken: Taken) {
         self.catalogue = taken.catalogue;
-        let listed = CatalogueDirectory { catalogue: &self.catalogue, names: &self.words };
+        let listed = CatalogueDirectory { catalogue: &self.catalogue, names: &self.names };
         let mut events: Vec<Event> = Vec::new();
         match taken.reset {
-            // Without messages it knows no destination that it could be behind with.
+            // Without messages the module knows no destination, so there is nothing pending to tell it.
             true => self.list.directory_replaced(&self.policy, &listed, &mut events),
             false => self.list.endpoints_changed(&self.policy, &listed, &taken.changed, &mut events),
         }
         let mut actions = Vec::new();
         self.policy.handle(self.clock.now(), &events, &mut actions);
         self.list.events_handled();
-        self.share(taken.generation);
+        self.share_snapshot(taken.generation);
     }
 
-    /// Its own snapshot is given up for one of the same version that is kept already, or kept for others.
-    fn share(&mut self, generation: u64) {
-        let mut shared = self.shared.lock().expect("no holder panics");
-        self.catalogue = shared.entry(generation).or_insert_with(|| self.catalogue.clone()).clone();
-        if shared.len() > KEPT {
-            shared.pop_first();
+    /// Replaces its snapshot by a shared one of the same version, or shares its own if there is none.
+    fn share_snapshot(&mut self, generation: u64) {
+        let mut snapshots = self.snapshots.lock().expect("no holder panics");
+        self.catalogue = snapshots.entry(generation).or_insert_with(|| self.catalogue.clone()).clone();
+        if snapshots.len() > MAX_SHARED_SNAPSHOTS {
+            snapshots.pop_first();
         }
     }
 }
--- a/crates/testbed/src/scale/list_service.rs
+++ b/crates/testbed/src/scale/list_service.rs
@@ -1,6 +1,7 @@
-//! Discovery on sockets for lists of any size and some thousand watches: one address for each region, whose
-//! connections can be cut.
-use super::change_log::{Answer, ChangeLog};
+//! Stub discovery service for lists of any size and thousands of watches, with one address per region.
+//!
+//! A region can be cut off: its connections stay open but get no responses.
+use super::change_log::{ChangeLog, ListResponse};
 use super::deployment::{Change, Deployment, REGIONS};
 use crate::addresses;
 use crate::clock::Clock;
@@ -14,23 +15,25 @@
 use tokio::sync::watch;
 use tokio::time::{timeout_at, Instant};
 
-/// The longest watch (PROTOCOL, Discovery).
-const LONGEST: Duration = Duration::from_secs(60);
-/// Connections that wait to be accepted: a fleet connects at once.
-const BACKLOG: u32 = 4_096;
+/// Longest wait of a watch (PROTOCOL, Discovery).
+const MAX_WATCH: Duration = Duration::from_secs(60);
+/// Approximate size of a list request without its path: the method, the version and the host header.
+const REQUEST_BYTES_BESIDES_PATH: usize = 44;
+/// Bound on connections that wait to be accepted; high, as a whole fleet connects at once.
+const ACCEPT_BACKLOG: u32 = 4_096;
 
-/// What has been answered so far.
+/// Responses and bytes of the service so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Counts {
     pub whole_lists: u64,
     pub change_answers: u64,
-    /// Watches that ended with nothing new.
+    /// Responses to watches that ended without a change.
     pub empty_answers: u64,
-    /// Bodies and heads of answers.
+    /// Bytes of the bodies and heads of list responses.
     pub bytes: u64,
-    /// Heads of requests.
+    /// Bytes of the heads of list requests.
     pub request_bytes: u64,
-    /// Messages that ended with a notice.
+    /// Notices received, one for each ended message.
     pub notices: u64,
 }
 
@@ -46,14 +49,15 @@
 
 struct Shared {
     log: Mutex<ChangeLog>,
-    news: watch::Sender<u64>,
-    /// By region: its network reaches nobody.
+    /// The current version.
+    version: watch::Sender<u64>,
+    /// By region: whether it is cut off.
     cut: Vec<watch::Sender<bool>>,
     counters: Counters,
     clock: Clock,
 }
 
-/// The service; it ends with the runtime that it was started on. Copies are of the same service.
+/// A handle to the service, which ends with the runtime that it was started on.
 #[derive(Clone)]
 pub struct ListService {
     shared: Arc<Shared>,
@@ -61,12 +65,13 @@
 }
 
 impl ListService {
+    /// Starts the service on the current runtime.
     pub fn start(deployment: Deployment) -> io::Result<ListService> {
         let mut log = ChangeLog::new(deployment);
-        // Written once, before anybody waits for it.
+        // Serialises the whole list before any request waits for it.
         log.since(None);
         let shared = Arc::new(Shared {
-            news: watch::Sender::new(log.generation()),
+            version: watch::Sender::new(log.generation()),
             log: Mutex::new(log),
             cut: (0..REGIONS).map(|_| watch::Sender::new(false)).collect(),
             counters: Counters::default(),
@@ -81,28 +86,29 @@
         Ok(ListService { shared, addresses })
     }
 
+    /// Returns the address for a region's senders.
     pub fn address(&self, region: u32) -> SocketAddr {
         self.addresses[region as usize]
     }
 
-    /// Makes a change, tells it, and returns its version.
+    /// Applies a change, publishes it, and returns its version.
     pub fn apply(&self, change: Change) -> u64 {
         self.publish(|log| log.apply(change))
     }
 
-    /// Makes and tells a drawn change.
-    pub fn change(&self, random: &mut impl rand::Rng) -> u64 {
+    /// Draws a change, applies and publishes it, and returns its version.
+    pub fn apply_drawn_change(&self, random: &mut impl rand::Rng) -> u64 {
         self.publish(|log| {
-            let change = log.deployment().draw(random);
+            let change = log.deployment().draw_change(random);
             log.apply(change)
         })
     }
 
-    /// All endpoints change at once, and everybody is told the whole list.
+    /// Changes all ready endpoints at once, so that every watch gets the whole list, and returns its version.
     pub fn replace_all(&self) -> u64 {
         self.publish(|log| {
             let generation = log.change_all();
-            // Written before it is told, so that nobody's answer waits for it.
+            // Serialised before it is published, so that no response waits for it.
             log.since(None);
             generation
         })
@@ -111,19 +117,21 @@
     fn publish(&self, change: impl FnOnce(&mut ChangeLog) -> u64) -> u64 {
         let mut log = self.shared.log();
         let generation = change(&mut log);
-        self.shared.news.send_replace(generation);
+        self.shared.version.send_replace(generation);
         generation
     }
 
+    /// Returns the published version of the list.
     pub fn generation(&self) -> u64 {
-        *self.shared.news.borrow()
+        *self.shared.version.borrow()
     }
 
-    /// Cuts a region off, or heals it: its connections stay open and silent meanwhile.
-    pub fn cut(&self, region: u32, is_cut: bool) {
+    /// Cuts a region off or restores it. Its connections stay open but silent meanwhile.
+    pub fn set_cut(&self, region: u32, is_cut: bool) {
         self.shared.cut[region as usize].send_replace(is_cut);
     }
 
+    /// Returns the counts so far.
     pub fn counts(&self) -> Counts {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let counters = &self.shared.counters;
@@ -139,6 +147,7 @@
 }
 
 impl Counts {
+    /// Returns the counts since an earlier reading.
     pub fn since(&self, earlier: &Counts) -> Counts {
         Counts {
             whole_lists: self.whole_lists - earlier.whole_lists,
@@ -155,7 +164,7 @@
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
 impl Shared {
@@ -166,22 +175,24 @@
     async fn accept(self: Arc<Self>, region: u32, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
-            let link = Connection::new(stream, self.clock);
-            tokio::spawn(self.clone().serve(region, link));
+            let connection = Connection::new(stream, self.clock);
+            tokio::spawn(self.clone().serve(region, connection));
         }
     }
 
-    async fn serve(self: Arc<Self>, region: u32, mut link: Connection) {
-        while let Ok(request) = link.read_request().await {
+    async fn serve(self: Arc<Self>, region: u32, mut connection: Connection) {
+        while let Ok(request) = connection.read_request().await {
             let Start::Request { method, path } = &request.start else { return };
             let written = match (method.as_str(), path.split_once('?').unwrap_or((path, ""))) {
-                ("GET", ("/v1/servers", query)) => self.list(region, &mut link, path.len(), query).await,
+                ("GET", ("/v1/servers", query)) => {
+                    self.respond_with_list(region, &mut connection, path.len(), query).await
+                }
                 ("POST", ("/reports", _)) => {
                     let lines = request.body.split(|b| *b == b'\n').filter(|l| !l.is_empty()).count();
                     self.counters.notices.fetch_add(lines as u64, Ordering::Relaxed);
-                    link.write(&http::response(204, "", b"")).await
+                    connection.write(&http::response(204, "", b"")).await
                 }
-                _ => link.write(&http::response(404, "", b"")).await,
+                _ => connection.write(&http::response(404, "", b"")).await,
             };
             if written.is_err() || request.closes() {
                 return;
@@ -189,56 +200,69 @@
         }
     }
 
-    async fn list(&self, region: u32, link: &mut Connection, path: usize, query: &str) -> io::Result<()> {
-        let of = |key: &str| {
+    async fn respond_with_list(
+        &self,
+        region: u32,
+        connection: &mut Connection,
+        path_bytes: usize,
+        query: &str,
+    ) -> io::Result<()> {
+        let parameter = |key: &str| {
             let pair = query.split('&').find_map(|p| p.split_once('=').filter(|(k, _)| *k == key));
             pair.and_then(|(_, v)| v.parse::<u64>().ok())
         };
-        let index = of("index");
-        // Its own words and the host's name.
-        self.counters.request_bytes.fetch_add((path + 44) as u64, Ordering::Relaxed);
+        let index = parameter("index");
+        self.counters
+            .request_bytes
+            .fetch_add((path_bytes + REQUEST_BYTES_BESIDES_PATH) as u64, Ordering::Relaxed);
         let mut cut = self.cut[region as usize].subscribe();
         if let Some(index) = index {
-            let until = Instant::now() + Duration::from_millis(of("wait").unwrap_or(0)).min(LONGEST);
-            let mut news = self.news.subscribe();
+            let deadline =
+                Instant::now() + Duration::from_millis(parameter("wait").unwrap_or(0)).min(MAX_WATCH);
+            let mut version = self.version.subscribe();
             let waited = async {
-                let _ = timeout_at(until, news.wait_for(|n| *n > index)).await;
+                let _ = timeout_at(deadline, version.wait_for(|v| *v > index)).await;
             };
             tokio::select! {
                 () = waited => {}
-                () = link.closed() => return Err(io::ErrorKind::ConnectionReset.into()),
+                () = connection.closed() => return Err(io::ErrorKind::ConnectionReset.into()),
             }
         }
         tokio::select! {
             _ = cut.wait_for(|is_cut| !is_cut) => {}
-            () = link.closed() => return Err(io::ErrorKind::ConnectionReset.into()),
+            () = connection.closed() => return Err(io::ErrorKind::ConnectionReset.into()),
         }
-        let (answer, news) = {
+        let (response, has_news) = {
             let mut log = self.log();
-            let news = index != Some(log.generation());
-            (log.since(index), news)
+            let has_news = index != Some(log.generation());
+            (log.since(index), has_news)
         };
-        self.write(link, &answer, news).await
+        self.write(connection, &response, has_news).await
     }
 
-    async fn write(&self, link: &mut Connection, answer: &Answer, news: bool) -> io::Result<()> {
+    async fn write(
+        &self,
+        connection: &mut Connection,
+        response: &ListResponse,
+        has_news: bool,
+    ) -> io::Result<()> {
         let head = format!(
             "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
-            answer.len()
+            response.len()
         );
-        let kind = match (answer.reset, news) {
+        let counter = match (response.reset, has_news) {
             (true, _) => &self.counters.whole_lists,
             (false, true) => &self.counters.change_answers,
             (false, false) => &self.counters.empty_answers,
         };
-        kind.fetch_add(1, Ordering::Relaxed);
-        self.counters.bytes.fetch_add((head.len() + answer.len()) as u64, Ordering::Relaxed);
-        if let [body] = answer.parts.as_slice() {
-            return link.write(&[head.as_bytes(), body].concat()).await;
+        counter.fetch_add(1, Ordering::Relaxed);
+        self.counters.bytes.fetch_add((head.len() + response.len()) as u64, Ordering::Relaxed);
+        if let [body] = response.parts.as_slice() {
+            return connection.write(&[head.as_bytes(), body].concat()).await;
         }
-        link.write(head.as_bytes()).await?;
-        for part in &answer.parts {
-            link.write(part).await?;
+        connection.write(head.as_bytes()).await?;
+        for part in &response.parts {
+            connection.write(part).await?;
         }
         Ok(())
     }
--- a/crates/testbed/src/scale/loop_probe.rs
+++ b/crates/testbed/src/scale/loop_probe.rs
@@ -1,10 +1,11 @@
-//! How long a sender's loop was held, as seen by asking it again and again, and where that time went.
+//! Measures how long a sender's event loop is blocked, by repeated requests, and attributes the time.
 //!
-//! The probe has a thread of its own, so that what else this process does is no part of what it measures. A held loop is
-//! told from a busy machine by the scheduler's counts: for how long the loop ran, and for how long it, or the probe
-//! itself, was ready to run and had no processor. On a virtual machine a thread that was woken may also find that its
-//! processor is not there yet, which counts as neither; how late the probe itself wakes from its pauses tells of that.
-use super::usage::{self, Scheduled};
+//! The probe has a thread of its own, so that other work of this process does not distort the measurement.
+//! The scheduler's counters distinguish a blocked loop from a busy machine: how long the loop ran, and how
+//! long the loop or the probe was ready to run without a processor. On a virtual machine a woken thread may
+//! also have to wait for its virtual processor, which counts as neither; the lateness of the probe's own
+//! wake-ups shows that.
+use super::usage::{self, ThreadTimes};
 use crate::clock::Clock;
 use crate::http::{Connection, Message, Start};
 use serde::Serialize;
@@ -18,56 +19,56 @@
 use tokio::runtime;
 use tokio::time::{timeout, Instant};
 
-/// Between an answer and the next question: a hold is seen up to this much too short.
-const PAUSE: Duration = Duration::from_millis(1);
-/// A question without an answer is given up then.
-const PATIENCE: Duration = Duration::from_secs(5);
-const QUESTION: &[u8] = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+/// Pause between a response and the next request; a delay may be measured too short by up to this much.
+const PROBE_INTERVAL: Duration = Duration::from_millis(1);
+/// Timeout of a request.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+const REQUEST: &[u8] = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// One question and its answer, in milliseconds.
+/// One request and its response, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Answered {
+pub struct ProbeSample {
     pub took_ms: f64,
-    /// Processor time of the loop from the question to the next one.
+    /// Processor time of the loop from this request to the next one.
     pub loop_ran_ms: f64,
-    /// The loop was ready to run and had no processor.
+    /// Time in which the loop was ready to run but had no processor.
     pub loop_waited_ms: f64,
-    /// The same of the probe.
+    /// The same for the probe.
     pub probe_waited_ms: f64,
 }
 
-/// How long a sender's loop was held.
+/// How long a sender's loop took to respond, over all requests of a probe.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Holds {
+pub struct LoopDelays {
     pub asked: usize,
     pub unanswered: usize,
     pub p50_ms: f64,
     pub p99_ms: f64,
     pub longest_ms: f64,
-    /// The most that the loop ran from a question to the next one.
+    /// The longest processor time of the loop from one request to the next.
     pub most_ran_ms: f64,
-    /// The question that took longest, with where its time went.
-    pub longest: Answered,
-    /// How much longer than meant the probe's own pauses were.
+    /// The request that took longest, with where its time went.
+    pub longest: ProbeSample,
+    /// 99th percentile of the lateness of the probe's own wake-ups; `late_longest_ms` is the maximum.
     pub late_p99_ms: f64,
     pub late_longest_ms: f64,
 }
 
-impl Holds {
-    fn of(answered: &[Answered], unanswered: usize, late: &[f64]) -> Holds {
-        let took = sorted(answered.iter().map(|a| a.took_ms));
-        let late = sorted(late.iter().copied());
-        let longest = answered.iter().max_by(|a, b| a.took_ms.total_cmp(&b.took_ms));
-        Holds {
-            asked: answered.len(),
+impl LoopDelays {
+    fn from_samples(samples: &[ProbeSample], unanswered: usize, wakeup_delays: &[f64]) -> LoopDelays {
+        let took = sorted(samples.iter().map(|a| a.took_ms));
+        let wakeup_delays = sorted(wakeup_delays.iter().copied());
+        let longest = samples.iter().max_by(|a, b| a.took_ms.total_cmp(&b.took_ms));
+        LoopDelays {
+            asked: samples.len(),
             unanswered,
             p50_ms: quantile(&took, 0.5),
             p99_ms: quantile(&took, 0.99),
             longest_ms: quantile(&took, 1.0),
-            most_ran_ms: answered.iter().map(|a| a.loop_ran_ms).fold(0.0, f64::max),
+            most_ran_ms: samples.iter().map(|a| a.loop_ran_ms).fold(0.0, f64::max),
             longest: longest.copied().unwrap_or_default(),
-            late_p99_ms: quantile(&late, 0.99),
-            late_longest_ms: quantile(&late, 1.0),
+            late_p99_ms: quantile(&wakeup_delays, 0.99),
+            late_longest_ms: quantile(&wakeup_delays, 1.0),
         }
     }
 }
@@ -79,68 +80,70 @@
 }
 
 fn quantile(sorted: &[f64], share: f64) -> f64 {
-    let place = (share * sorted.len().saturating_sub(1) as f64) as usize;
-    sorted.get(place).copied().unwrap_or(f64::NAN)
+    let index = (share * sorted.len().saturating_sub(1) as f64) as usize;
+    sorted.get(index).copied().unwrap_or(f64::NAN)
 }
 
-/// Asks `GET /healthz` on one connection, one question after the other, until it is told to finish.
+/// A running probe, which sends `GET /healthz` on one connection, one request after the other, until it is
+/// stopped.
 pub struct LoopProbe {
     finish: Arc<AtomicBool>,
-    thread: JoinHandle<io::Result<Holds>>,
+    thread: JoinHandle<io::Result<LoopDelays>>,
 }
 
 impl LoopProbe {
-    /// Of a sender at `at`, whose loop is the first thread of `process`.
-    pub fn start(at: SocketAddr, process: u32) -> io::Result<LoopProbe> {
+    /// Starts to probe the sender at `address`, whose loop is the main thread of `process`.
+    pub fn start(address: SocketAddr, process: u32) -> io::Result<LoopProbe> {
         let finish = Arc::new(AtomicBool::new(false));
         let finished = finish.clone();
-        let ask = move || {
+        let probe = move || {
             let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
-            runtime.block_on(ask_until(&finished, at, process))
+            runtime.block_on(probe_until(&finished, address, process))
         };
-        let thread = thread::Builder::new().name("loop-probe".into()).spawn(ask)?;
+        let thread = thread::Builder::new().name("loop-probe".into()).spawn(probe)?;
         Ok(LoopProbe { finish, thread })
     }
 
-    /// Waits for the question under way, which ends within its patience.
-    pub async fn finish(self) -> io::Result<Holds> {
+    /// Stops the probe after its current request, which ends within its timeout, and returns the result.
+    pub async fn finish(self) -> io::Result<LoopDelays> {
         self.finish.store(true, Ordering::Relaxed);
         let joined = tokio::task::spawn_blocking(|| self.thread.join()).await.map_err(io::Error::other)?;
         joined.map_err(|_| io::Error::other("the probe panicked"))?
     }
 }
 
-async fn ask_until(finished: &AtomicBool, at: SocketAddr, process: u32) -> io::Result<Holds> {
+async fn probe_until(finished: &AtomicBool, address: SocketAddr, process: u32) -> io::Result<LoopDelays> {
     let clock = Clock::new(Instant::now());
-    let (mut answered, mut unanswered, mut late) = (Vec::new(), 0, Vec::new());
-    let mut link = None;
-    let mut before = (usage::first_thread(process)?, usage::this_thread()?);
+    let (mut samples, mut unanswered, mut wakeup_delays) = (Vec::new(), 0, Vec::new());
+    let mut connection = None;
+    let mut before = (usage::main_thread_times(process)?, usage::current_thread_times()?);
     while !finished.load(Ordering::Relaxed) {
         let begun = Instant::now();
-        let heard = timeout(PATIENCE, ask(&mut link, at, clock)).await.ok().flatten();
+        let response =
+            timeout(RESPONSE_TIMEOUT, request_health(&mut connection, address, clock)).await.ok().flatten();
         let paused = Instant::now();
-        // Nothing else runs on this thread.
-        thread::sleep(PAUSE);
-        late.push(ms(paused.elapsed().saturating_sub(PAUSE)));
-        let after = (usage::first_thread(process)?, usage::this_thread()?);
-        if heard.is_some() {
+        // Blocking is fine, as nothing else runs on this thread.
+        thread::sleep(PROBE_INTERVAL);
+        wakeup_delays.push(ms(paused.elapsed().saturating_sub(PROBE_INTERVAL)));
+        let after = (usage::main_thread_times(process)?, usage::current_thread_times()?);
+        if response.is_some() {
             let (of_loop, of_probe) = (after.0.since(&before.0), after.1.since(&before.1));
-            answered.push(account(paused - begun, of_loop, of_probe));
+            samples.push(sample(paused - begun, of_loop, of_probe));
         } else {
-            link = None;
+            connection = None;
             unanswered += 1;
         }
         before = after;
     }
-    Ok(Holds::of(&answered, unanswered, &late))
+    Ok(LoopDelays::from_samples(&samples, unanswered, &wakeup_delays))
 }
 
 fn ms(span: Duration) -> f64 {
     span.as_secs_f64() * 1e3
 }
 
-fn account(took: Duration, of_loop: Scheduled, of_probe: Scheduled) -> Answered {
-    Answered {
+fn sample(took: Duration, of_loop: ThreadTimes, of_probe: ThreadTimes) -> ProbeSample {
+    ProbeSample {
         took_ms: ms(took),
         loop_ran_ms: ms(of_loop.ran),
         loop_waited_ms: ms(of_loop.waited),
@@ -148,12 +151,16 @@
     }
 }
 
-async fn ask(link: &mut Option<Connection>, at: SocketAddr, clock: Clock) -> Option<()> {
-    if link.is_none() {
-        *link = Some(Connection::new(TcpStream::connect(at).await.ok()?, clock));
+async fn request_health(
+    connection: &mut Option<Connection>,
+    address: SocketAddr,
+    clock: Clock,
+) -> Option<()> {
+    if connection.is_none() {
+        *connection = Some(Connection::new(TcpStream::connect(address).await.ok()?, clock));
     }
-    let open = link.as_mut()?;
-    open.write(QUESTION).await.ok()?;
+    let open = connection.as_mut()?;
+    open.write(REQUEST).await.ok()?;
     matches!(open.read_response().await, Ok(Message { start: Start::Status(_), .. })).then_some(())
 }
 
@@ -162,17 +169,17 @@
     use super::*;
 
     #[test]
-    fn the_longest_answer_and_the_most_work_are_told_apart() {
-        let answered = |took_ms, loop_ran_ms, loop_waited_ms| Answered {
+    fn separates_longest_response_from_longest_run() {
+        let sample = |took_ms, loop_ran_ms, loop_waited_ms| ProbeSample {
             took_ms,
             loop_ran_ms,
             loop_waited_ms,
-            ..Answered::default()
+            ..ProbeSample::default()
         };
-        let all = [answered(9.0, 0.1, 8.5), answered(0.5, 0.2, 0.0), answered(3.0, 2.9, 0.0)];
-        let holds = Holds::of(&all, 1, &[0.1, 4.0]);
-        assert_eq!((holds.asked, holds.unanswered), (3, 1));
-        assert_eq!((holds.longest_ms, holds.longest.loop_waited_ms), (9.0, 8.5));
-        assert_eq!((holds.p50_ms, holds.most_ran_ms, holds.late_longest_ms), (3.0, 2.9, 4.0));
+        let all = [sample(9.0, 0.1, 8.5), sample(0.5, 0.2, 0.0), sample(3.0, 2.9, 0.0)];
+        let delays = LoopDelays::from_samples(&all, 1, &[0.1, 4.0]);
+        assert_eq!((delays.asked, delays.unanswered), (3, 1));
+        assert_eq!((delays.longest_ms, delays.longest.loop_waited_ms), (9.0, 8.5));
+        assert_eq!((delays.p50_ms, delays.most_ran_ms, delays.late_longest_ms), (3.0, 2.9, 4.0));
     }
 }
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,8 +1,8 @@
-//! Scale tests: one sender, and a fleet of them, at the sizes that `docs/CAPACITY.md` is worked out for.
+//! Scale measurements of one sender and of a fleet, at the sizes that `docs/CAPACITY.md` covers.
 //!
-//! `deployment`, `change_log`, `traffic`, `module` and `fit` hold no sockets; `list_service`, `fleet`, `load`, `loop_probe`,
-//! `real_sender` and `sender_bench` are the sockets and processes round them. The examples `scale_sender`, `scale_fleet`
-//! and `scale_backlog` run them by hand in full size, `tests/scale.rs` in a small one.
+//! `deployment`, `change_log`, `traffic`, `module` and `fit` use no sockets; `list_service`, `fleet`, `load`,
+//! `loop_probe`, `real_sender` and `sender_bench` add sockets and processes. The examples `scale_sender`,
+//! `scale_fleet` and `scale_backlog` run the full sizes by hand, and `tests/scale.rs` runs small ones.
 pub mod allocation;
 pub mod change_log;
 pub mod deployment;
--- a/crates/testbed/src/scale/module.rs
+++ b/crates/testbed/src/scale/module.rs
@@ -1,6 +1,6 @@
-//! The decision module alone, in time that passes as it is told to: what it holds by listed destination, by used
-//! destination and by held message.
-use super::fleet::words;
+//! Runs the decision module alone in simulated time, to measure its state per listed destination, used
+//! destination and held message.
+use super::fleet::settings_names;
 use catalogue::intake::Taken;
 use catalogue::Catalogue;
 use sender::api::{
@@ -12,55 +12,60 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How long messages may wait: long enough that none ends during a run.
-const LEFT: Ns = 3_600 * SECOND;
-const TOOK: Ns = 5 * MS;
+/// Time that messages have left: long enough that none expires during a run.
+const MESSAGE_LIFETIME: Ns = 3_600 * SECOND;
+/// Duration of every call.
+const CALL_DURATION: Ns = 5 * MS;
 
-/// A module with endpoints that all behave alike.
-/// Destinations that it is told of in a round after a whole list, as in the sender.
-const CATCH_UP: usize = 128;
+/// Destinations that the module is told of per round after a whole list, as in the sender.
+const PENDING_PER_ROUND: usize = 128;
 
-pub struct Module {
+/// A decision module with endpoints on which all calls end alike.
+pub struct ModuleHarness {
     policy: policy::Sender,
-    /// What is listed, and told to the module as it needs it; without, it is told lists by the caller.
+    /// The catalogue, of which the module is told what it needs; without one, the caller tells it whole
+    /// lists.
     directory: Option<Catalogue>,
     on_demand: OnDemandList,
-    words: SettingsNames,
+    names: SettingsNames,
     tick: Ns,
     now: Ns,
-    next: MsgId,
-    /// How calls end.
+    next_id: MsgId,
+    /// The outcome of every call.
     outcome: Outcome,
-    ends: Vec<Event>,
-    /// Calls so far of messages that have not ended.
+    /// Ends of attempts that the module has not been told of.
+    attempt_ends: Vec<Event>,
+    /// Calls so far of each message that has not ended.
     attempts: HashMap<MsgId, u32>,
-    /// Messages that it gave up or refused.
+    /// Messages that the module gave up or refused.
     pub given_up: u64,
     /// Messages that were delivered.
     pub delivered: u64,
 }
 
-impl Module {
-    pub fn new(settings: &Settings, outcome: Outcome) -> Module {
-        Module {
+impl ModuleHarness {
+    /// Starts a module without a list, on whose endpoints every call ends with `outcome`.
+    pub fn new(settings: &Settings, outcome: Outcome) -> ModuleHarness {
+        ModuleHarness {
             policy: policy::Sender::new(settings.clone(), 30),
             directory: None,
             on_demand: OnDemandList::default(),
-            words: words(),
+            names: settings_names(),
             tick: settings.tick,
             now: 1_000 * SECOND,
-            next: 1,
+            next_id: 1,
             outcome,
-            ends: Vec::new(),
+            attempt_ends: Vec::new(),
             attempts: HashMap::new(),
             given_up: 0,
             delivered: 0,
         }
     }
 
-    /// Tells it a whole list, with one endpoint of each destination's own number: what it costs a caller that keeps no
-    /// directory.
-    pub fn list(&mut self, destinations: u64) {
+    /// Tells the module a whole list, in which each destination has one endpoint of the same number.
+    ///
+    /// This is what a caller does that keeps no directory.
+    pub fn tell_whole_list(&mut self, destinations: u64) {
         let entry = |dest| Entry {
             endpoint: dest as u32,
             dest,
@@ -73,9 +78,9 @@
         self.handle(vec![Event::List { whole: true, entries }]);
     }
 
-    /// Puts a list in force, and tells the module as much of it as it needs.
-    pub fn take(&mut self, taken: Taken) {
-        let listed = CatalogueDirectory { catalogue: &taken.catalogue, names: &self.words };
+    /// Applies a list, and tells the module as much of it as it needs.
+    pub fn apply_list(&mut self, taken: Taken) {
+        let listed = CatalogueDirectory { catalogue: &taken.catalogue, names: &self.names };
         let mut events = Vec::new();
         match taken.reset {
             true => self.on_demand.directory_replaced(&self.policy, &listed, &mut events),
@@ -85,62 +90,65 @@
         self.handle(events);
     }
 
+    /// Returns the catalogue, if a list was applied.
     pub fn catalogue(&self) -> Option<&Catalogue> {
         self.directory.as_ref()
     }
 
-    /// Destinations that it holds state for.
-    pub fn known(&self) -> usize {
+    /// Returns the number of destinations that the module holds state for.
+    pub fn known_destinations(&self) -> usize {
         self.policy.known_destinations().count()
     }
 
-    /// Messages that are neither delivered nor given up.
-    pub fn open(&self) -> u64 {
-        self.next - 1 - self.given_up - self.delivered
+    /// Returns the number of messages that are neither delivered nor given up.
+    pub fn open_messages(&self) -> u64 {
+        self.next_id - 1 - self.given_up - self.delivered
     }
 
-    /// Gives it messages, in turn for each destination, so many before each round; stops at the time bound and tells
-    /// whether all have come.
-    pub fn offer(&mut self, messages: u64, batch: u64, destinations: u64, bound: Duration) -> bool {
+    /// Hands messages to the module for each destination in turn, `batch` before each round.
+    ///
+    /// Stops after `time_limit` of real time, and returns whether all messages were handed in.
+    pub fn offer(&mut self, messages: u64, batch: u64, destinations: u64, time_limit: Duration) -> bool {
         let begun = Instant::now();
-        let end = self.next + messages;
-        while self.next < end && begun.elapsed() < bound {
-            let batch = batch.min(end - self.next);
+        let end = self.next_id + messages;
+        while self.next_id < end && begun.elapsed() < time_limit {
+            let batch = batch.min(end - self.next_id);
             let mut events = Vec::new();
-            (0..batch).for_each(|_| self.message(destinations, &mut events));
+            (0..batch).for_each(|_| self.add_message(destinations, &mut events));
             self.handle(events);
         }
-        self.next == end
+        self.next_id == end
     }
 
-    fn message(&mut self, destinations: u64, events: &mut Vec<Event>) {
-        let (id, dest) = (self.next, self.next % destinations);
-        self.next += 1;
+    fn add_message(&mut self, destinations: u64, events: &mut Vec<Event>) {
+        let (id, dest) = (self.next_id, self.next_id % destinations);
+        self.next_id += 1;
         if let Some(catalogue) = &self.directory {
-            let listed = CatalogueDirectory { catalogue, names: &self.words };
+            let listed = CatalogueDirectory { catalogue, names: &self.names };
             self.on_demand.before_message(&self.policy, &listed, dest, events);
         }
-        let message = Message { id, class: 0, dest, time_left: LEFT, cost: 0, key: None, tenant: 0 };
+        let message =
+            Message { id, class: 0, dest, time_left: MESSAGE_LIFETIME, cost: 0, key: None, tenant: 0 };
         events.push(Event::Message(message));
     }
 
-    /// One round of the timer.
+    /// Runs one round with a timer event.
     pub fn round(&mut self) {
         self.handle(vec![Event::Timer]);
     }
 
-    /// Rounds for as long as it has ends to hear of, and some more.
-    pub fn settle(&mut self, rounds: usize) {
+    /// Runs a number of rounds, so that the module hears of all ended attempts.
+    pub fn run_rounds(&mut self, rounds: usize) {
         (0..rounds).for_each(|_| self.round());
     }
 
     fn handle(&mut self, mut events: Vec<Event>) {
         self.now += self.tick;
         if let Some(catalogue) = &self.directory {
-            let listed = CatalogueDirectory { catalogue, names: &self.words };
-            self.on_demand.tell_pending(&self.policy, &listed, CATCH_UP, &mut events);
+            let listed = CatalogueDirectory { catalogue, names: &self.names };
+            self.on_demand.tell_pending(&self.policy, &listed, PENDING_PER_ROUND, &mut events);
         }
-        events.append(&mut self.ends);
+        events.append(&mut self.attempt_ends);
         let mut actions = Vec::new();
         self.policy.handle(self.now, &events, &mut actions);
         self.on_demand.events_handled();
@@ -152,15 +160,15 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { id, endpoint, .. } => {
-                let next = self.attempts.entry(id).or_default();
-                let (attempt, done) = (*next, self.outcome == Outcome::Served);
-                *next += 1;
+                let next_attempt = self.attempts.entry(id).or_default();
+                let (attempt, done) = (*next_attempt, self.outcome == Outcome::Served);
+                *next_attempt += 1;
                 let end = AttemptEnd {
                     id,
                     attempt,
                     endpoint,
                     outcome: self.outcome,
-                    took: TOOK,
+                    took: CALL_DURATION,
                     done,
                     retry_after: 0,
                     report: None,
@@ -169,7 +177,7 @@
                     self.attempts.remove(&id);
                     self.delivered += 1;
                 }
-                self.ends.push(Event::AttemptEnd(end));
+                self.attempt_ends.push(Event::AttemptEnd(end));
             }
             Action::Refuse { id, .. } | Action::Fail { id } => {
                 self.attempts.remove(&id);
--- a/crates/testbed/src/scale/real_sender.rs
+++ b/crates/testbed/src/scale/real_sender.rs
@@ -1,7 +1,7 @@
-//! A real sender as a child process, started as the platform starts one, and looked at from outside.
+//! A real sender as a child process, started as the platform starts one and measured from outside.
 use super::deployment::{zone_name, MACHINE_TYPES, ZONES};
 use super::loop_probe::LoopProbe;
-use super::usage::{self, Memory};
+use super::usage::{self, ResidentMemory};
 use crate::addresses;
 use crate::clock::Clock;
 use crate::http;
@@ -19,42 +19,49 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Senders of the whole fleet.
-pub const FLEET: usize = 3_600;
-/// What a sender of the fleet may use for control.
+/// Number of senders in the whole fleet.
+pub const FLEET_SENDERS: usize = 3_600;
+/// Memory limit of a sender of the fleet, in MB.
 pub const MEMORY_MB: u64 = 64;
-/// Calls out at once: about 2.3 times those that 106 messages a second of 160 ms keep busy, as plays have it.
+/// Slots: about 2.3 times the calls in flight at 106 messages per second of 160 ms each, as in experiments.
 const CALLS_OUT: usize = 40;
-const DESCRIPTORS: u64 = 1_024;
-const ASK_EVERY: Duration = Duration::from_millis(5);
+/// Limit on a sender's descriptors, unless another is given.
+const DEFAULT_DESCRIPTORS: u64 = 1_024;
+/// Interval between two readiness checks.
+const READINESS_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a sender is told of the fleet and of its own limits.
+/// Timeout of one readiness check.
+const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// What a sender's configuration states about the fleet and its own limits.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
-    /// Senders of the fleet.
+pub struct SenderParameters {
+    /// Number of senders in the fleet.
     pub fleet: usize,
-    /// Bound on its descriptors.
+    /// Limit on its descriptors.
     pub descriptors: u64,
 }
 
-impl Default for Shape {
-    fn default() -> Shape {
-        Shape { fleet: FLEET, descriptors: DESCRIPTORS }
+impl Default for SenderParameters {
+    fn default() -> SenderParameters {
+        SenderParameters { fleet: FLEET_SENDERS, descriptors: DEFAULT_DESCRIPTORS }
     }
 }
 
-/// The settings that every sender of the synthetic deployment gets: of a play's, with this deployment's zones and
-/// machine types and nothing told of limits.
+/// Returns the settings of every sender of the synthetic deployment.
+///
+/// They are those of an experiment, with this deployment's zones and machine types and without stated rate
+/// limits.
 pub fn settings(fleet: usize) -> Value {
-    let spec = Spec::parse(Path::new("scale"), "senders = 1").expect("a plan with all that is usual");
+    let spec = Spec::parse(Path::new("scale"), "senders = 1").expect("an experiment with default values");
     let mut settings = Plan::draw(&spec, Seed(1)).settings(0);
     let zones: Vec<String> = (0..ZONES).map(zone_name).collect();
-    let each = |value: Value| Value::Array(vec![value; MACHINE_TYPES.len()]);
+    let per_machine_type = |value: Value| Value::Array(vec![value; MACHINE_TYPES.len()]);
     settings["NInstances"] = json!(fleet);
     settings["Localities"] = json!(zones);
     settings["Kinds"] = json!(MACHINE_TYPES);
-    settings["FamilyInfo"]["KindBatch"] = each(json!(1));
-    settings["FamilyInfo"]["SeparateRoutes"] = each(json!(false));
+    settings["FamilyInfo"]["KindBatch"] = per_machine_type(json!(1));
+    settings["FamilyInfo"]["SeparateRoutes"] = per_machine_type(json!(false));
     settings["FamilyInfo"]["RouteFee"] = json!(vec![0.0; ZONES as usize]);
     settings["FamilyInfo"]["CallsOut"] = json!(CALLS_OUT);
     settings["Limits"]["MaxOpen"] = json!(50_000);
@@ -62,33 +69,34 @@
     settings
 }
 
+/// A running sender, which is killed when this is dropped.
 pub struct RealSender {
     child: Child,
-    at: SocketAddr,
+    address: SocketAddr,
     begun: Instant,
     folder: PathBuf,
 }
 
 impl RealSender {
-    /// Starts one with an empty state folder in `folder`.
+    /// Starts a sender with an empty state folder in `folder`.
     pub fn start(
         program: &Path,
         folder: &Path,
         discovery: SocketAddr,
         number: u32,
-        shape: &Shape,
+        parameters: &SenderParameters,
     ) -> io::Result<RealSender> {
         let (state, config) = (folder.join("state"), folder.join("config.json"));
         std::fs::create_dir_all(&state)?;
-        let at = addresses::reserve()?;
-        let text = json!({
-            "name": format!("n{number}"), "listen": at.to_string(), "discovery": discovery.to_string(),
+        let address = addresses::reserve()?;
+        let config_json = json!({
+            "name": format!("n{number}"), "listen": address.to_string(), "discovery": discovery.to_string(),
             "seed": format!("{number:016x}"),
-            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": shape.descriptors, "disk_mb": 64},
+            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": parameters.descriptors, "disk_mb": 64},
             "known": {"generation": 0, "reset": true, "instances": []},
-            "settings": settings(shape.fleet),
+            "settings": settings(parameters.fleet),
         });
-        std::fs::write(&config, text.to_string())?;
+        std::fs::write(&config, config_json.to_string())?;
         let mut command = Command::new(program);
         command
             .env("EDGE_STATE", &state)
@@ -97,44 +105,50 @@
             .stdout(File::create(folder.join("stdout"))?)
             .stderr(File::create(folder.join("log"))?)
             .kill_on_drop(true);
-        // SAFETY: between fork and exec only one system call is made, which allocates nothing and takes no lock.
+        // SAFETY: between fork and exec only one system call is made, which allocates nothing and takes no
+        // lock.
         unsafe {
             command.pre_exec(|| Ok(set_parent_process_death_signal(Some(Signal::KILL))?));
         }
         let begun = Instant::now();
-        Ok(RealSender { child: command.spawn()?, at, begun, folder: folder.to_path_buf() })
+        Ok(RealSender { child: command.spawn()?, address, begun, folder: folder.to_path_buf() })
     }
 
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
-        self.at
+        self.address
     }
 
-    fn process(&self) -> io::Result<u32> {
+    fn process_id(&self) -> io::Result<u32> {
         self.child.id().ok_or_else(|| io::Error::other("the sender has ended"))
     }
 
-    pub fn memory(&self) -> io::Result<Memory> {
-        usage::memory(self.process()?)
+    /// Returns its resident memory.
+    pub fn memory(&self) -> io::Result<ResidentMemory> {
+        usage::memory(self.process_id()?)
     }
 
-    pub fn processor(&self) -> io::Result<Duration> {
-        usage::processor(self.process()?)
+    /// Returns its processor time so far.
+    pub fn processor_time(&self) -> io::Result<Duration> {
+        usage::processor_time(self.process_id()?)
     }
 
-    /// Processor time of the thread that its loop runs on.
-    pub fn loop_processor(&self) -> io::Result<Duration> {
-        Ok(usage::first_thread(self.process()?)?.ran)
+    /// Returns the processor time so far of the thread that runs its event loop.
+    pub fn loop_processor_time(&self) -> io::Result<Duration> {
+        Ok(usage::main_thread_times(self.process_id()?)?.ran)
     }
 
-    pub fn probe(&self) -> io::Result<LoopProbe> {
-        LoopProbe::start(self.at, self.process()?)
+    /// Starts to measure how long its event loop is blocked.
+    pub fn start_probe(&self) -> io::Result<LoopProbe> {
+        LoopProbe::start(self.address, self.process_id()?)
     }
 
+    /// Returns the number of its open descriptors.
     pub fn descriptors(&self) -> io::Result<usize> {
-        usage::descriptors(self.process()?)
+        usage::descriptors(self.process_id()?)
     }
 
-    /// Bytes of its state folder.
+    /// Returns the size of its state folder in bytes.
     pub fn state_bytes(&self) -> io::Result<u64> {
         let (mut folders, mut bytes) = (vec![self.folder.join("state")], 0);
         while let Some(folder) = folders.pop() {
@@ -142,7 +156,7 @@
                 let entry = entry?;
                 match entry.file_type()?.is_dir() {
                     true => folders.push(entry.path()),
-                    // It may be gone by now.
+                    // The file may have been deleted meanwhile.
                     false => bytes += entry.metadata().map_or(0, |m| m.len()),
                 }
             }
@@ -150,25 +164,27 @@
         Ok(bytes)
     }
 
-    /// What it logged.
+    /// Returns its log.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// The time from its start until it says that it is ready; none where it does not in time.
-    pub async fn ready(&mut self, within: Duration) -> Option<Duration> {
-        let until = self.begun + within;
+    /// Waits until it reports readiness, and returns the time since its start; `None` after the timeout or if
+    /// it ends.
+    pub async fn wait_until_ready(&mut self, ready_within: Duration) -> Option<Duration> {
+        let deadline = self.begun + ready_within;
         let clock = Clock::new(self.begun);
-        while Instant::now() < until && self.process().is_ok() {
-            if timeout(Duration::from_secs(1), http::is_ready(self.at, clock)).await == Ok(true) {
+        while Instant::now() < deadline && self.process_id().is_ok() {
+            if timeout(READINESS_TIMEOUT, http::is_ready(self.address, clock)).await == Ok(true) {
                 return Some(self.begun.elapsed());
             }
-            sleep(ASK_EVERY).await;
+            sleep(READINESS_INTERVAL).await;
         }
         None
     }
 
-    pub async fn end(mut self) -> io::Result<()> {
+    /// Kills the process and waits for its end.
+    pub async fn kill(mut self) -> io::Result<()> {
         self.child.kill().await
     }
 }
--- a/crates/testbed/src/scale/traffic.rs
+++ b/crates/testbed/src/scale/traffic.rs
@@ -1,18 +1,20 @@
-//! Which destination a message is for.
+//! The distribution of messages over destinations.
 use rand::{Rng, RngExt};
 use rand_distr::{Distribution, Zipf};
 
-/// Exponent of the skewed traffic.
-pub const EXPONENT: f64 = 1.0;
+/// Exponent of the Zipf distribution.
+pub const ZIPF_EXPONENT: f64 = 1.0;
 
+/// How unevenly messages are spread over destinations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Skew {
     Uniform,
-    /// By rank, with `EXPONENT`.
+    /// Zipf distribution by rank, with `ZIPF_EXPONENT`.
     Zipf,
 }
 
 impl Skew {
+    /// Returns the name used in reports.
     pub fn name(self) -> &'static str {
         match self {
             Skew::Uniform => "uniform",
@@ -21,28 +23,31 @@
     }
 }
 
-/// How many destinations so many messages are for, in the mean.
+/// Returns the expected number of different destinations among `messages` messages.
 pub fn expected_destinations(skew: Skew, destinations: u32, messages: f64) -> f64 {
-    let rank = |i: u32| match skew {
+    let weight = |rank: u32| match skew {
         Skew::Uniform => 1.0,
-        Skew::Zipf => f64::from(i).powf(-EXPONENT),
+        Skew::Zipf => f64::from(rank).powf(-ZIPF_EXPONENT),
     };
-    let all: f64 = (1..=destinations).map(rank).sum();
-    (1..=destinations).map(|i| 1.0 - (-messages * rank(i) / all).exp()).sum()
+    let total: f64 = (1..=destinations).map(weight).sum();
+    (1..=destinations).map(|rank| 1.0 - (-messages * weight(rank) / total).exp()).sum()
 }
 
-pub struct Traffic {
+/// Draws the destinations of messages.
+pub struct DestinationSampler {
     destinations: u32,
     zipf: Option<Zipf<f64>>,
 }
 
-impl Traffic {
-    pub fn new(skew: Skew, destinations: u32) -> Traffic {
-        let zipf = || Zipf::new(f64::from(destinations), EXPONENT).expect("there is a destination");
-        Traffic { destinations, zipf: (skew == Skew::Zipf).then(zipf) }
+impl DestinationSampler {
+    /// Prepares the distribution over so many destinations.
+    pub fn new(skew: Skew, destinations: u32) -> DestinationSampler {
+        let zipf = || Zipf::new(f64::from(destinations), ZIPF_EXPONENT).expect("at least one destination");
+        DestinationSampler { destinations, zipf: (skew == Skew::Zipf).then(zipf) }
     }
 
-    pub fn draw(&self, random: &mut impl Rng) -> u32 {
+    /// Draws the destination of one message.
+    pub fn sample(&self, random: &mut impl Rng) -> u32 {
         match &self.zipf {
             Some(zipf) => (zipf.sample(random) as u32 - 1).min(self.destinations - 1),
             None => random.random_range(0..self.destinations),
@@ -57,10 +62,10 @@
     use std::collections::HashSet;
 
     #[test]
-    fn as_many_destinations_are_drawn_as_are_expected() {
+    fn drawn_destinations_match_the_expected_number() {
         for skew in [Skew::Uniform, Skew::Zipf] {
-            let (traffic, mut random) = (Traffic::new(skew, 5_000), Seed(4).stream("traffic", 0));
-            let drawn: HashSet<u32> = (0..4_000).map(|_| traffic.draw(&mut random)).collect();
+            let (traffic, mut random) = (DestinationSampler::new(skew, 5_000), Seed(4).stream("traffic", 0));
+            let drawn: HashSet<u32> = (0..4_000).map(|_| traffic.sample(&mut random)).collect();
             let expected = expected_destinations(skew, 5_000, 4_000.0);
             assert!((drawn.len() as f64 / expected - 1.0).abs() < 0.05, "{} of {expected}", drawn.len());
         }
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -2,17 +2,17 @@
 use catalogue::{intake, Catalogue, Limits};
 use sender::api::Outcome;
 use std::time::Duration;
-use testbed::scale::allocation::Counting;
+use testbed::scale::allocation::CountingAllocator;
 use testbed::scale::change_log::ChangeLog;
 use testbed::scale::deployment::{Addresses, Change, Deployment, Size, REGIONS};
 use testbed::scale::fit::Line;
-use testbed::scale::fleet::{module_settings, Fleet, Spec};
+use testbed::scale::fleet::{module_settings, Fleet, FleetSpec};
 use testbed::scale::list_service::ListService;
-use testbed::scale::module::Module;
+use testbed::scale::module::ModuleHarness;
 use testbed::seed::Seed;
 
 #[global_allocator]
-static MEMORY: Counting = Counting;
+static MEMORY: CountingAllocator = CountingAllocator;
 
 const SEED: Seed = Seed(30);
 const LIMITS: Limits = Limits { max_entries: usize::MAX, max_bytes: usize::MAX };
@@ -32,18 +32,18 @@
     ChangeLog::new(deployment(destinations)).since(None).parts.concat()
 }
 
-fn module_with_list(destinations: u32) -> Module {
-    let mut module = Module::new(&module_settings(), Outcome::Served);
+fn module_with_list(destinations: u32) -> ModuleHarness {
+    let mut module = ModuleHarness::new(&module_settings(), Outcome::Served);
     let taken = intake::read(list(destinations).as_slice(), &Catalogue::default(), &LIMITS).unwrap();
-    module.take(taken);
-    module.settle(2);
+    module.apply_list(taken);
+    module.run_rounds(2);
     module
 }
 
 fn line(sizes: &[u32], of: impl Fn(u32) -> usize) -> Line {
     let points: Vec<(f64, f64)> = sizes.iter().map(|&size| (f64::from(size), of(size) as f64)).collect();
     println!("{points:?}");
-    Line::through(&points).expect("there are several sizes")
+    Line::fit(&points).expect("there are several sizes")
 }
 
 #[test]
@@ -58,7 +58,7 @@
         MEMORY.in_use() - before
     });
     assert!(line.slope <= BYTES_BY_DESTINATION, "{line:?}");
-    assert!(line.residual < 0.02 * line.at(f64::from(sizes[3])), "{line:?}");
+    assert!(line.residual < 0.02 * line.predict(f64::from(sizes[3])), "{line:?}");
 }
 
 #[test]
@@ -68,9 +68,9 @@
     let before = MEMORY.in_use();
     let first = intake::read(list.as_slice(), &Catalogue::default(), &LIMITS).unwrap().catalogue;
     let one = MEMORY.in_use() - before;
-    MEMORY.take_most();
+    MEMORY.take_peak();
     let second = intake::read(list.as_slice(), &first, &LIMITS).unwrap().catalogue;
-    let most = MEMORY.take_most() - before;
+    let most = MEMORY.take_peak() - before;
     assert_eq!(second.len(), 100_000);
     assert!(most as f64 <= 2.3 * one as f64, "{most} bytes at a time, {one} for one");
 }
@@ -80,12 +80,12 @@
     println!("seed {}", SEED.0);
     let line = line(&[30, 300, 3_000, 30_000], |destinations| {
         let list = list(destinations);
-        let mut module = Module::new(&module_settings(), Outcome::Served);
+        let mut module = ModuleHarness::new(&module_settings(), Outcome::Served);
         let taken = intake::read(list.as_slice(), &Catalogue::default(), &LIMITS).unwrap();
         let before = MEMORY.in_use();
-        module.take(taken);
-        module.settle(2);
-        assert_eq!(module.known(), 0);
+        module.apply_list(taken);
+        module.run_rounds(2);
+        assert_eq!(module.known_destinations(), 0);
         MEMORY.in_use().saturating_sub(before)
     });
     assert_eq!(line.slope, 0.0, "{line:?}");
@@ -98,8 +98,8 @@
         let mut module = module_with_list(listed);
         let before = MEMORY.in_use();
         assert!(module.offer(200, 20, 200, BOUND));
-        module.settle(20);
-        assert_eq!((module.delivered, module.known()), (200, 200));
+        module.run_rounds(20);
+        assert_eq!((module.delivered, module.known_destinations()), (200, 200));
         (MEMORY.in_use() - before) as f64
     };
     let (few, many) = (state(200), state(20_000));
@@ -113,7 +113,7 @@
         let mut module = module_with_list(used);
         let before = MEMORY.in_use();
         assert!(module.offer(used.into(), 20, used.into(), BOUND));
-        module.settle(20);
+        module.run_rounds(20);
         assert_eq!(module.delivered, u64::from(used));
         (MEMORY.in_use() - before) as f64
     };
@@ -131,11 +131,11 @@
     let before = log.generation();
     log.apply(Change::Replace(77_777));
     let change = log.since(Some(before)).parts.concat();
-    MEMORY.take_most();
+    MEMORY.take_peak();
     let start = MEMORY.in_use();
     let second = intake::read(change.as_slice(), &first.catalogue, &LIMITS).unwrap();
     assert_eq!(second.changed.len(), 2);
-    let most = MEMORY.take_most() - start;
+    let most = MEMORY.take_peak() - start;
     assert!(most < whole / 20, "{most} bytes for one change of {whole}");
 }
 
@@ -145,12 +145,12 @@
     let line = line(&[1_000, 2_000, 4_000, 8_000], |messages| {
         let mut settings = module_settings();
         settings.max_open = 2 * messages as usize;
-        let mut module = Module::new(&settings, Outcome::NoConnection);
-        module.list(100);
-        module.settle(2);
+        let mut module = ModuleHarness::new(&settings, Outcome::NoConnection);
+        module.tell_whole_list(100);
+        module.run_rounds(2);
         let before = MEMORY.in_use();
         assert!(module.offer(messages.into(), 500, 100, BOUND));
-        assert_eq!(module.open(), u64::from(messages));
+        assert_eq!(module.open_messages(), u64::from(messages));
         MEMORY.in_use() - before
     });
     // Containers double, so the points lie on both sides of the line.
@@ -168,7 +168,7 @@
         let service = ListService::start(deployment(destinations)).unwrap();
         let first = intake::read(list(destinations).as_slice(), &Catalogue::default(), &LIMITS).unwrap();
         assert_eq!(first.generation, service.generation());
-        let spec = Spec {
+        let spec = FleetSpec {
             seed: SEED,
             senders: SENDERS,
             watch: Duration::from_secs(1),
@@ -178,12 +178,12 @@
         let bench = Bench { service, fleet: Fleet::start(&spec) };
         // All watch from here on.
         bench.change(Change::Weight(0, 0.5));
-        assert!(bench.fleet.progress.all_have(bench.service.generation(), BOUND).await);
+        assert!(bench.fleet.progress.wait_for_all(bench.service.generation(), BOUND).await);
         bench
     }
 
     fn change(&self, change: Change) -> u64 {
-        self.fleet.progress.publish(self.service.generation() + 1);
+        self.fleet.progress.note_published(self.service.generation() + 1);
         self.service.apply(change)
     }
 }
@@ -193,12 +193,12 @@
     println!("seed {}", SEED.0);
     let bench = Bench::start(2_000).await;
     let before = bench.service.counts();
-    bench.fleet.progress.take();
+    bench.fleet.progress.take_times();
     for number in 1..=20 {
         let version = bench.change(Change::Replace(number));
-        assert!(bench.fleet.progress.all_have(version, BOUND).await, "version {version}");
+        assert!(bench.fleet.progress.wait_for_all(version, BOUND).await, "version {version}");
     }
-    let (counts, seen) = (bench.service.counts().since(&before), bench.fleet.progress.take());
+    let (counts, seen) = (bench.service.counts().since(&before), bench.fleet.progress.take_times());
     assert_eq!((seen.changes, seen.everywhere, counts.whole_lists), (20, 20, 0));
     // Watches that ran out meanwhile are no cost of a change.
     let empty = counts.empty_answers * 256;
@@ -212,17 +212,21 @@
     println!("seed {}", SEED.0);
     let bench = Bench::start(2_000).await;
     let whole = list(2_000).len() as u64;
-    bench.service.cut(1, true);
+    bench.service.set_cut(1, true);
     let mut last = 0;
     for number in 100..130 {
         last = bench.change(Change::Drain(number));
     }
     let rest = SENDERS - SENDERS / REGIONS as usize;
-    assert!(bench.fleet.progress.at_least(rest, last, BOUND).await);
-    assert_eq!(bench.fleet.progress.have(last), rest, "who is cut off has nothing new, all others have");
+    assert!(bench.fleet.progress.wait_for(rest, last, BOUND).await);
+    assert_eq!(
+        bench.fleet.progress.senders_with(last),
+        rest,
+        "who is cut off has nothing new, all others have"
+    );
     let before = bench.service.counts();
-    bench.service.cut(1, false);
-    assert!(bench.fleet.progress.all_have(last, BOUND).await);
+    bench.service.set_cut(1, false);
+    assert!(bench.fleet.progress.wait_for_all(last, BOUND).await);
     let healed = bench.service.counts().since(&before);
     assert_eq!(healed.whole_lists, 0, "{healed:?}");
     let each = healed.bytes / (SENDERS as u64 / u64::from(REGIONS));
