--- a/crates/testbed/examples/readiness.rs
+++ b/crates/testbed/examples/readiness.rs
@@ -1,9 +1,10 @@
-//! How long a sender takes to be ready over what a crash has left, as a multiple of reading those files once.
+//! Measures how long a sender takes to be ready after a crash, also as a multiple of the time to read its
+//! files once.
 //!
 //!     cargo run --release -p testbed --example readiness -- target/release/cairnpulley-sender [journal-file]
 //!
-//! With `journal-file` folders are in the form before the log, for senders of that time or to see the taking
-//! over.
+//! With `journal-file` the state folders have the format from before the segmented log, to measure older
+//! senders or the conversion to the log.
 use sender::records::book::Book;
 use sender::records::{folder, journal_file, wall_ms, Owed, Taken};
 use serde_json::json;
@@ -15,9 +16,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const PLAYS: usize = 9;
-const BODY: usize = 300;
-const GIVE_UP: Duration = Duration::from_secs(30);
+/// Measurements per size.
+const RUNS: usize = 9;
+/// Size of a message's body.
+const BODY_BYTES: usize = 300;
+/// Time after which a watch is answered.
+const WATCH_TIME: Duration = Duration::from_secs(5);
+/// Time after which a sender counts as never ready.
+const READINESS_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn book(messages: u64) -> Book {
     let mut book = Book::default();
@@ -30,14 +36,16 @@
             trace: format!("{id:016x}"),
             key: None,
             end: wall_ms() + 600_000,
-            body: vec![7; BODY].into(),
+            body: vec![7; BODY_BYTES].into(),
         };
         book.enter(Owed { taken: Rc::new(taken), attempts: Vec::new(), ending: None });
     }
     book
 }
 
-/// Answers every call at once with a list of one endpoint, which no message is for.
+/// Starts a stub discovery service whose list has one endpoint, which no message is for.
+///
+/// It answers a request without a wait at once, and a watch after `WATCH_TIME`.
 fn discovery() -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let at = listener.local_addr()?;
@@ -61,7 +69,7 @@
             return;
         }
         if first.contains("wait=") {
-            std::thread::sleep(Duration::from_secs(5));
+            std::thread::sleep(WATCH_TIME);
         }
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
         if stream.write_all(answer.as_bytes()).is_err() {
@@ -78,8 +86,8 @@
         && head.ends_with(b"200")
 }
 
-/// Seconds that reading all files of a folder takes.
-fn reading(folder: &Path) -> Result<f64, Box<dyn Error>> {
+/// Returns the seconds that reading all files of a folder takes.
+fn read_seconds(folder: &Path) -> Result<f64, Box<dyn Error>> {
     let start = Instant::now();
     let mut bytes = 0;
     let mut folders = vec![folder.to_path_buf()];
@@ -96,8 +104,8 @@
     Ok(start.elapsed().as_secs_f64())
 }
 
-/// Seconds to readiness, and to read the folder once just before.
-fn play(
+/// Measures the seconds until readiness, and those to read the state folder once just before.
+fn measure(
     sender: &str,
     messages: u64,
     file: bool,
@@ -128,7 +136,7 @@
                 "OverloadForNs": 2_000_000_000}, "Services": [class]}});
     let path = work.path().join("config.json");
     std::fs::write(&path, config.to_string())?;
-    let read = reading(&state)?;
+    let read = read_seconds(&state)?;
     let start = Instant::now();
     let mut child = Command::new(sender)
         .env("EDGE_STATE", &state)
@@ -140,8 +148,8 @@
         if is_ready(listen) {
             break Ok(start.elapsed().as_secs_f64());
         }
-        if start.elapsed() > GIVE_UP {
-            break Err("it is never ready");
+        if start.elapsed() > READINESS_TIMEOUT {
+            break Err("the sender is not ready within the timeout");
         }
         std::thread::sleep(Duration::from_micros(200));
     };
@@ -152,19 +160,19 @@
 
 fn main() -> Result<(), Box<dyn Error>> {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let sender = args.first().ok_or("the sender's program is missing")?;
+    let sender = args.first().ok_or("missing argument: the path of a sender")?;
     let file = args.get(1).is_some_and(|form| form == "journal-file");
     let discovery = discovery()?;
     println!("messages  ready (ms, median)  least  most  reading once (ms)  multiple");
     for messages in [0, 300, 1_000, 20_000] {
-        let mut plays: Vec<(f64, f64)> = Vec::new();
-        for _ in 0..PLAYS {
-            plays.push(play(sender, messages, file, discovery)?);
+        let mut runs: Vec<(f64, f64)> = Vec::new();
+        for _ in 0..RUNS {
+            runs.push(measure(sender, messages, file, discovery)?);
         }
-        plays.sort_by(|a, b| a.0.total_cmp(&b.0));
+        runs.sort_by(|a, b| a.0.total_cmp(&b.0));
         let ms = |seconds: f64| seconds * 1e3;
-        let (ready, read) = plays[PLAYS / 2];
-        let (least, most) = (plays[0].0, plays[PLAYS - 1].0);
+        let (ready, read) = runs[RUNS / 2];
+        let (least, most) = (runs[0].0, runs[RUNS - 1].0);
         println!(
             "{messages:8}  {:18.1}  {:5.1}  {:4.1}  {:17.2}  {:8.1}",
             ms(ready),
--- a/crates/testbed/examples/scale_backlog.rs
+++ b/crates/testbed/examples/scale_backlog.rs
@@ -1,10 +1,10 @@
-//! The decision module and the catalogue without sockets: memory and time by listed destination, by
+//! Measures the decision module and the catalogue without sockets: memory and time by listed destination, by
 //! destination that the module is told of, by used destination and by held message. JSON on standard output,
 //! progress on standard error.
 //!
 //!     cargo run --release -p testbed --example scale_backlog -- [--small|--full]
 //!
-//! Held messages are for 1,000 destinations that take no connection, so nothing of the backlog moves.
+//! Held messages are for 1,000 destinations that accept no connection, so that the backlog stays as it is.
 use catalogue::{intake, Catalogue, Limits};
 use sender::api::{Outcome, Settings};
 use serde::Serialize;
@@ -22,18 +22,22 @@
 static MEMORY: CountingAllocator = CountingAllocator;
 
 const SEED: Seed = Seed(30);
+/// Destinations of held messages.
 const DESTINATIONS: u64 = 1_000;
-/// No size gets more time than this to take its messages on, and as much again for its rounds.
-const BOUND: Duration = Duration::from_secs(30);
-/// Messages that come between two rounds: of a backlog that builds up, and of calls that all find a slot.
-const BATCH: u64 = 1_000;
+/// Time limit for handing in the messages of one size, and for each other series of steps.
+const TIME_LIMIT: Duration = Duration::from_secs(30);
+/// Messages between two rounds while a backlog is built up.
+const BACKLOG_BATCH: u64 = 1_000;
+/// Messages between two rounds of calls that succeed: few enough that each call finds a slot.
 const SERVED_BATCH: u64 = 20;
+/// Rounds that are timed.
 const ROUNDS: u32 = 200;
+/// Changes that are timed.
 const CHANGES: u32 = 200;
-/// Endpoints that use everything: no limit is to end a run.
+/// No limits on the catalogue, so that none affects a run.
 const LIMITS: Limits = Limits { max_entries: usize::MAX, max_bytes: usize::MAX };
 
-/// Listed in the catalogue, and told to the module on demand.
+/// Costs by listed destination, which the module is told of on demand.
 #[derive(Serialize)]
 struct Listed {
     destinations: u64,
@@ -43,14 +47,14 @@
     known: usize,
     module_bytes: usize,
     intake_ms: f64,
-    /// The most that taking the list in had in use at a time.
+    /// Peak of the memory in use while the list was loaded.
     intake_most_bytes: usize,
     change_us: f64,
     change_us_most: f64,
     round_us: f64,
 }
 
-/// Told to the module all at once, whether there is work for them or not.
+/// Costs when the module is told of all destinations at once.
 #[derive(Serialize)]
 struct Told {
     destinations: u64,
@@ -59,7 +63,7 @@
     round_us: f64,
 }
 
-/// With one message each, delivered.
+/// Costs by used destination: each got one message, which was delivered.
 #[derive(Serialize)]
 struct Used {
     destinations: u64,
@@ -67,14 +71,15 @@
     module_bytes: usize,
     round_us: f64,
     round_us_most: f64,
-    /// Messages without an end when it was looked at.
+    /// Messages that had not ended by then.
     open: u64,
 }
 
+/// Costs by held message.
 #[derive(Serialize)]
 struct Held {
     asked_for: u64,
-    /// How many it had when it was looked at.
+    /// Messages held after the timed rounds.
     held: u64,
     all_taken_on: bool,
     seconds_to_take_on: f64,
@@ -85,6 +90,7 @@
     message_us_most: f64,
 }
 
+/// Lines fitted to the costs.
 #[derive(Serialize)]
 struct Fits {
     list_bytes_by_listed_destination: Option<Line>,
@@ -107,22 +113,22 @@
     fits: Fits,
 }
 
-fn milliseconds(of: Duration) -> f64 {
-    of.as_secs_f64() * 1e3
+fn milliseconds(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1e3
 }
 
-/// How many steps there were within the bound, and the time that each takes in the mean and at most, in
-/// microseconds.
+/// Times a step repeatedly. Returns the number of steps within the time limit, and their mean and longest
+/// time in microseconds.
 fn time(steps: u32, mut step: impl FnMut()) -> (u32, f64, f64) {
     let begun = Instant::now();
     let (mut done, mut most) = (0, Duration::ZERO);
-    while done < steps && begun.elapsed() < BOUND {
+    while done < steps && begun.elapsed() < TIME_LIMIT {
         let at = Instant::now();
         step();
         most = most.max(at.elapsed());
         done += 1;
     }
-    let micros = |of: Duration| of.as_secs_f64() * 1e6;
+    let micros = |duration: Duration| duration.as_secs_f64() * 1e6;
     (done, micros(begun.elapsed()) / f64::from(done), micros(most))
 }
 
@@ -130,7 +136,7 @@
     ChangeLog::new(Deployment::new(SEED, Size::single(destinations as u32), Addresses::Synthetic))
 }
 
-/// A module with its list.
+/// Returns a module that has loaded a list.
 fn with_list(destinations: u64, settings: &Settings) -> Result<ModuleHarness, Box<dyn Error>> {
     let list = change_log(destinations).since(None).parts.concat();
     let mut module = ModuleHarness::new(settings, Outcome::Served);
@@ -169,7 +175,8 @@
     })
 }
 
-/// What a change costs from its bytes to its being in force, in microseconds: in the mean, and at most.
+/// Times the processing of changes from their bytes on; returns the mean and the longest time in
+/// microseconds.
 fn changes(log: &mut ChangeLog, module: &mut ModuleHarness) -> (f64, f64) {
     let mut random = SEED.stream("changes", 0);
     let bodies: Vec<Vec<u8>> = (0..CHANGES)
@@ -182,9 +189,9 @@
         .collect();
     let mut bodies = bodies.iter();
     let (_, mean, most) = time(CHANGES, || {
-        let body = bodies.next().expect("one for each step");
-        let current = module.catalogue().expect("it has a list");
-        let taken = intake::read(body.as_slice(), current, &LIMITS).expect("a list of changes");
+        let body = bodies.next().expect("one body for each step");
+        let current = module.catalogue().expect("the module has a list");
+        let taken = intake::read(body.as_slice(), current, &LIMITS).expect("a valid list of changes");
         module.apply_list(taken);
     });
     (mean, most)
@@ -205,7 +212,7 @@
 fn used(destinations: u64) -> Result<Used, Box<dyn Error>> {
     let mut module = with_list(destinations, &module_settings())?;
     let before = MEMORY.in_use();
-    module.offer(destinations, SERVED_BATCH, destinations, BOUND);
+    module.offer(destinations, SERVED_BATCH, destinations, TIME_LIMIT);
     module.run_rounds(10);
     let module_bytes = MEMORY.in_use().saturating_sub(before);
     let (_, round_us, round_us_most) = time(ROUNDS, || module.round());
@@ -219,7 +226,9 @@
     })
 }
 
-/// Told of all destinations before, so that it is held messages alone whose memory is counted.
+/// Measures the cost of held messages.
+///
+/// The module is told of all destinations before, so that only the memory of the messages is counted.
 fn held(messages: u64) -> Held {
     let mut settings = module_settings();
     settings.max_open = 2 * messages as usize;
@@ -227,13 +236,13 @@
     module.tell_whole_list(DESTINATIONS);
     module.run_rounds(2);
     let (before, at) = (MEMORY.in_use(), Instant::now());
-    let all_taken_on = module.offer(messages, BATCH, DESTINATIONS, BOUND);
+    let all_taken_on = module.offer(messages, BACKLOG_BATCH, DESTINATIONS, TIME_LIMIT);
     let seconds_to_take_on = at.elapsed().as_secs_f64();
     let module_bytes = MEMORY.in_use().saturating_sub(before);
     let (rounds, round_us_mean, round_us_most) = time(ROUNDS, || module.round());
     let held = module.open_messages();
     let (_, _, message_us_most) = time(20, || {
-        module.offer(1, 1, DESTINATIONS, BOUND);
+        module.offer(1, 1, DESTINATIONS, TIME_LIMIT);
     });
     Held {
         asked_for: messages,
@@ -248,22 +257,25 @@
     }
 }
 
-fn line<T>(rows: &[T], of: impl Fn(&T) -> (u64, f64)) -> Option<Line> {
-    let points: Vec<_> = rows.iter().map(|row| (of(row).0 as f64, of(row).1)).collect();
+/// Fits a line to a size and a value of each row.
+fn fit_line<T>(rows: &[T], point: impl Fn(&T) -> (u64, f64)) -> Option<Line> {
+    let points: Vec<_> = rows.iter().map(|row| (point(row).0 as f64, point(row).1)).collect();
     Line::fit(&points)
 }
 
 fn fits(listed: &[Listed], told: &[Told], used: &[Used], held: &[Held]) -> Fits {
     Fits {
-        list_bytes_by_listed_destination: line(listed, |l| (l.destinations, l.list_bytes as f64)),
-        catalogue_bytes_by_listed_destination: line(listed, |l| (l.destinations, l.catalogue_bytes as f64)),
-        module_bytes_by_listed_destination: line(listed, |l| (l.destinations, l.module_bytes as f64)),
-        intake_ms_by_listed_destination: line(listed, |l| (l.destinations, l.intake_ms)),
-        module_bytes_by_told_destination: line(told, |t| (t.destinations, t.module_bytes as f64)),
-        list_ms_by_told_destination: line(told, |t| (t.destinations, t.whole_list_ms)),
-        module_bytes_by_known_destination: line(used, |u| (u.known as u64, u.module_bytes as f64)),
-        module_bytes_by_held_message: line(held, |h| (h.held, h.module_bytes as f64)),
-        longest_round_us_by_held_message: line(held, |h| (h.held, h.round_us_most)),
+        list_bytes_by_listed_destination: fit_line(listed, |l| (l.destinations, l.list_bytes as f64)),
+        catalogue_bytes_by_listed_destination: fit_line(listed, |l| {
+            (l.destinations, l.catalogue_bytes as f64)
+        }),
+        module_bytes_by_listed_destination: fit_line(listed, |l| (l.destinations, l.module_bytes as f64)),
+        intake_ms_by_listed_destination: fit_line(listed, |l| (l.destinations, l.intake_ms)),
+        module_bytes_by_told_destination: fit_line(told, |t| (t.destinations, t.module_bytes as f64)),
+        list_ms_by_told_destination: fit_line(told, |t| (t.destinations, t.whole_list_ms)),
+        module_bytes_by_known_destination: fit_line(used, |u| (u.known as u64, u.module_bytes as f64)),
+        module_bytes_by_held_message: fit_line(held, |h| (h.held, h.module_bytes as f64)),
+        longest_round_us_by_held_message: fit_line(held, |h| (h.held, h.round_us_most)),
     }
 }
 
@@ -271,7 +283,7 @@
     let (sizes, messages): (&[u64], &[u64]) = match std::env::args().nth(1).as_deref() {
         Some("--full") => (&[30, 1_000, 10_000, 100_000, 350_000], &[100, 1_000, 10_000, 100_000, 1_000_000]),
         Some("--small") | None => (&[30, 300, 3_000], &[100, 1_000, 10_000]),
-        Some(other) => return Err(format!("{other} is no argument").into()),
+        Some(other) => return Err(format!("unknown argument {other}").into()),
     };
     eprintln!("listed");
     let listed: Vec<_> = sizes.iter().copied().map(listed).collect::<Result<_, _>>()?;
--- a/crates/testbed/examples/scale_fleet.rs
+++ b/crates/testbed/examples/scale_fleet.rs
@@ -1,11 +1,12 @@
-//! A fleet of hollow senders on one list service: changes one by one and in bursts, a region cut off and
-//! healed, a zone restarted at once. JSON on standard output, progress on standard error.
+//! Measures a fleet of list-only senders on one list service: changes one by one and in bursts, a region that
+//! is cut off and restored, and a zone that restarts at once. JSON on standard output, progress on standard
+//! error.
 //!
 //!     cargo run --release -p testbed --example scale_fleet -- [--small|--full] [--senders 3600] [--destinations N]
 //!         [--changes N] [--compression 40]
 //!
-//! The senders share one process and one set of snapshots (see `scale::fleet`); the service has threads of
-//! its own, so that processor time is told apart. Time is compressed: changes and watches come
+//! The senders share one process and one set of snapshots (see `scale::fleet`). The service has threads of
+//! its own, so that its processor time is measured separately. Time is compressed: changes and watches come
 //! `--compression` times as often.
 use catalogue::{intake, Catalogue, Limits};
 use rand_chacha::ChaCha8Rng;
@@ -25,29 +26,32 @@
 use tokio::time::{sleep, Instant};
 
 const SEED: Seed = Seed(30);
-/// Between two changes, at 3,400 a day.
-const CHANGE_EVERY: Duration = Duration::from_millis(25_412);
-/// The longest wait of a watch in a fleet of a hundred senders or more.
-const WATCH: Duration = Duration::from_secs(50);
-/// Changes of an hour.
-const CHANGES_OF_AN_HOUR: u32 = 142;
-/// How long the hour's changes take here.
-const CUT: Duration = Duration::from_secs(5);
+/// Interval between two changes at 3,400 per day.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(25_412);
+/// Longest wait of a watch in a fleet of 100 senders or more.
+const MAX_WATCH: Duration = Duration::from_secs(50);
+/// Changes in an hour.
+const CHANGES_PER_HOUR: u32 = 142;
+/// Time over which an hour's changes are spread while a region is cut off.
+const CUT_DURATION: Duration = Duration::from_secs(5);
 const BURSTS: u32 = 5;
-const BURST: u32 = 50;
+/// Changes in a burst.
+const CHANGES_PER_BURST: u32 = 50;
 const BETWEEN_BURSTS: Duration = Duration::from_secs(3);
-const WITHIN: Duration = Duration::from_secs(30);
+/// Time limit for changes to reach all senders.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(30);
+/// Threads of each runtime.
 const THREADS: usize = 4;
-/// Threads' names; the kernel keeps fifteen letters.
-const SENDERS: &str = "hollow-senders";
-const SERVICE: &str = "list-service";
-/// Descriptors besides those of the connections' two ends.
-const OWN_DESCRIPTORS: u64 = 1_000;
-/// Whole lists that are read by the catalogue's intake where a zone restarts; the other senders' are only
+/// Names of the runtimes' threads, of which the kernel keeps 15 characters.
+const SENDER_THREADS: &str = "hollow-senders";
+const SERVICE_THREADS: &str = "list-service";
+/// Descriptors besides those of both ends of the connections.
+const OTHER_DESCRIPTORS: u64 = 1_000;
+/// Whole lists that are loaded into a catalogue when a zone restarts; those of all its senders are only
 /// fetched.
-const READ: usize = 16;
-/// Of these so many at once.
-const READ_AT_ONCE: usize = 4;
+const LOADED_LISTS: usize = 16;
+/// Number of those that are loaded concurrently.
+const CONCURRENT_LOADS: usize = 4;
 
 #[derive(Clone, Copy)]
 struct Arguments {
@@ -57,19 +61,19 @@
     compression: u32,
 }
 
-/// A stretch of the run: what it cost the fleet, and how soon changes were in force.
+/// A part of the run: its cost for the fleet, and how soon changes were applied.
 #[derive(Serialize)]
 struct Stretch {
     seconds: f64,
     counts: Counts,
     in_force: PropagationTimes,
     all_have_the_last: bool,
-    /// Processor time of the senders' threads and of the service's.
+    /// Processor time of the senders' threads; `service_processor_s` is that of the service's.
     senders_processor_s: f64,
     service_processor_s: f64,
 }
 
-/// A stretch of single changes, worked out for a sender and for the time that it stands for.
+/// The cost of single changes per sender, relative to the uncompressed time.
 #[derive(Serialize)]
 struct PerSender {
     bytes_per_second: f64,
@@ -79,22 +83,24 @@
     processor_us_per_answer: f64,
 }
 
+/// Measurements of a region that was cut off.
 #[derive(Serialize)]
 struct Cut {
     senders: usize,
     stretch: Stretch,
-    /// From the heal until all have the last version.
+    /// Time from the end of the cut until all senders had the last version.
     heal_ms: f64,
-    /// Bytes from the heal on.
+    /// Responses and bytes since the end of the cut.
     heal_counts: Counts,
 }
 
+/// Measurements of a zone whose senders all restarted at once.
 #[derive(Serialize)]
 struct ZoneRestart {
     senders: usize,
     list_bytes: u64,
     bytes: u64,
-    /// Until the last of them had all bytes, with all else on this machine.
+    /// Time until the last sender had the whole list, with everything on this machine.
     fetched_ms: f64,
     service_processor_s: f64,
     read: usize,
@@ -134,7 +140,7 @@
             "--destinations" => read.destinations = value()?.parse()?,
             "--compression" => read.compression = value()?.parse()?,
             "--changes" => read.changes = value()?.parse()?,
-            other => return Err(format!("{other} is no argument").into()),
+            other => return Err(format!("unknown argument {other}").into()),
         }
     }
     Ok(read)
@@ -156,39 +162,40 @@
         self.service.generation()
     }
 
-    /// Makes and tells one change.
+    /// Publishes one change.
     fn change(&mut self) {
         self.fleet.progress.note_published(self.version() + 1);
         self.service.apply_drawn_change(&mut self.random);
     }
 
-    /// Begins to count; the end tells what came since.
-    fn begin(&self) -> Result<Begun, Box<dyn Error>> {
+    /// Takes the readings at the start of a part of the run.
+    fn begin(&self) -> Result<StartReadings, Box<dyn Error>> {
         self.fleet.progress.take_times();
-        Ok(Begun {
+        Ok(StartReadings {
             at: Instant::now(),
             counts: self.service.counts(),
-            senders: usage::processor_time_of_threads(SENDERS)?,
-            service: usage::processor_time_of_threads(SERVICE)?,
+            senders: usage::processor_time_of_threads(SENDER_THREADS)?,
+            service: usage::processor_time_of_threads(SERVICE_THREADS)?,
         })
     }
 
-    async fn end(&self, begun: Begun) -> Result<Stretch, Box<dyn Error>> {
-        let all_have_the_last = self.fleet.progress.wait_for_all(self.version(), WITHIN).await;
-        let spent = |of: Duration, before: Duration| of.saturating_sub(before).as_secs_f64();
+    /// Waits until all senders have the last version, and returns the measurements since the start.
+    async fn end(&self, begun: StartReadings) -> Result<Stretch, Box<dyn Error>> {
+        let all_have_the_last = self.fleet.progress.wait_for_all(self.version(), PROPAGATION_TIMEOUT).await;
+        let spent = |now: Duration, before: Duration| now.saturating_sub(before).as_secs_f64();
         Ok(Stretch {
             seconds: begun.at.elapsed().as_secs_f64(),
             counts: self.service.counts().since(&begun.counts),
             in_force: self.fleet.progress.take_times(),
             all_have_the_last,
-            senders_processor_s: spent(usage::processor_time_of_threads(SENDERS)?, begun.senders),
-            service_processor_s: spent(usage::processor_time_of_threads(SERVICE)?, begun.service),
+            senders_processor_s: spent(usage::processor_time_of_threads(SENDER_THREADS)?, begun.senders),
+            service_processor_s: spent(usage::processor_time_of_threads(SERVICE_THREADS)?, begun.service),
         })
     }
 
     async fn single(&mut self) -> Result<Stretch, Box<dyn Error>> {
         let begun = self.begin()?;
-        let mut every = tokio::time::interval(CHANGE_EVERY / self.arguments.compression);
+        let mut every = tokio::time::interval(CHANGE_INTERVAL / self.arguments.compression);
         for _ in 0..self.arguments.changes {
             every.tick().await;
             self.change();
@@ -199,24 +206,24 @@
     async fn bursts(&mut self) -> Result<Stretch, Box<dyn Error>> {
         let begun = self.begin()?;
         for _ in 0..BURSTS {
-            (0..BURST).for_each(|_| self.change());
+            (0..CHANGES_PER_BURST).for_each(|_| self.change());
             sleep(BETWEEN_BURSTS).await;
         }
         self.end(begun).await
     }
 
-    /// A region hears nothing while an hour's changes are made.
+    /// Publishes an hour's changes while a region is cut off, and then ends the cut.
     async fn region_cut(&mut self) -> Result<Cut, Box<dyn Error>> {
         let begun = self.begin()?;
         self.service.set_cut(0, true);
-        for _ in 0..CHANGES_OF_AN_HOUR {
+        for _ in 0..CHANGES_PER_HOUR {
             self.change();
-            sleep(CUT / CHANGES_OF_AN_HOUR).await;
+            sleep(CUT_DURATION / CHANGES_PER_HOUR).await;
         }
         let senders = self.arguments.senders.div_ceil(REGIONS as usize);
         let others = self.arguments.senders - senders;
-        if !self.fleet.progress.wait_for(others, self.version(), WITHIN).await {
-            return Err("not all have heard who are not cut off".into());
+        if !self.fleet.progress.wait_for(others, self.version(), PROPAGATION_TIMEOUT).await {
+            return Err("not all senders outside the cut region have the last version".into());
         }
         let (counts, healed) = (self.service.counts(), Instant::now());
         self.service.set_cut(0, false);
@@ -225,11 +232,11 @@
         Ok(Cut { senders, stretch, heal_ms, heal_counts: self.service.counts().since(&counts) })
     }
 
-    /// Senders of one zone start anew, and each fetches the whole list.
+    /// Fetches the whole list as often at once as senders of one zone would that restart together.
     async fn zone_restart(&self) -> Result<ZoneRestart, Box<dyn Error>> {
         let senders = self.arguments.senders.div_ceil(ZONES as usize);
         let (before, begun) = (self.service.counts(), Instant::now());
-        let service_before = usage::processor_time_of_threads(SERVICE)?;
+        let service_before = usage::processor_time_of_threads(SERVICE_THREADS)?;
         let mut fetches = JoinSet::new();
         for number in 0..senders as u32 {
             let at = self.service.address(number % REGIONS);
@@ -239,14 +246,15 @@
             fetched??;
         }
         let fetched_ms = begun.elapsed().as_secs_f64() * 1e3;
-        let service_processor_s = (usage::processor_time_of_threads(SERVICE)? - service_before).as_secs_f64();
+        let service_processor_s =
+            (usage::processor_time_of_threads(SERVICE_THREADS)? - service_before).as_secs_f64();
         let bytes = self.service.counts().since(&before).bytes;
         let mut read = Vec::new();
-        for _ in 0..READ / READ_AT_ONCE {
+        for _ in 0..LOADED_LISTS / CONCURRENT_LOADS {
             let mut reads = JoinSet::new();
-            for number in 0..READ_AT_ONCE as u32 {
+            for number in 0..CONCURRENT_LOADS as u32 {
                 let at = self.service.address(number % REGIONS);
-                reads.spawn_blocking(move || read_list(at).map_err(|e| e.to_string()));
+                reads.spawn_blocking(move || load_list(at).map_err(|e| e.to_string()));
             }
             while let Some(taken) = reads.join_next().await {
                 read.push(taken??.1.as_secs_f64() * 1e3);
@@ -259,22 +267,23 @@
             fetched_ms,
             service_processor_s,
             read: read.len(),
-            read_at_once: READ_AT_ONCE,
+            read_at_once: CONCURRENT_LOADS,
             read_ms_mean: read.iter().sum::<f64>() / read.len() as f64,
             read_ms_most: read.iter().copied().fold(0.0, f64::max),
         })
     }
 }
 
-struct Begun {
+/// Readings at the start of a part of the run.
+struct StartReadings {
     at: Instant,
     counts: Counts,
     senders: Duration,
     service: Duration,
 }
 
-/// Asks for the whole list, and stands at its first byte.
-fn ask(at: SocketAddr) -> Result<(BufReader<TcpStream>, u64), Box<dyn Error>> {
+/// Requests the whole list, and returns a reader at the start of the body, and the body's length.
+fn request_list(at: SocketAddr) -> Result<(BufReader<TcpStream>, u64), Box<dyn Error>> {
     let mut stream = TcpStream::connect(at)?;
     stream.write_all(b"GET /v1/servers HTTP/1.1\r\nHost: x\r\n\r\n")?;
     let mut reader = BufReader::with_capacity(64 << 10, stream);
@@ -286,19 +295,21 @@
             length = Some(value.trim().parse()?);
         }
         if line.trim().is_empty() {
-            return Ok((reader, length.ok_or("the list has no length")?));
+            return Ok((reader, length.ok_or("the response has no content length")?));
         }
     }
 }
 
+/// Fetches the whole list, discards it, and returns its length.
 fn fetch(at: SocketAddr) -> Result<u64, Box<dyn Error>> {
-    let (reader, length) = ask(at)?;
+    let (reader, length) = request_list(at)?;
     Ok(std::io::copy(&mut reader.take(length), &mut std::io::sink())?)
 }
 
-fn read_list(at: SocketAddr) -> Result<(Catalogue, Duration), Box<dyn Error>> {
+/// Fetches the whole list, loads it into a catalogue, and returns that with the time taken.
+fn load_list(at: SocketAddr) -> Result<(Catalogue, Duration), Box<dyn Error>> {
     let begun = std::time::Instant::now();
-    let (reader, length) = ask(at)?;
+    let (reader, length) = request_list(at)?;
     let taken = intake::read(reader.take(length), &Catalogue::default(), &Limits::of_memory(64 << 20))?;
     Ok((taken.catalogue, begun.elapsed()))
 }
@@ -309,21 +320,21 @@
 
 async fn run(arguments: Arguments, senders: &Runtime, service: &Runtime) -> Result<Report, Box<dyn Error>> {
     let descriptors = descriptors();
-    let held = (descriptors.saturating_sub(OWN_DESCRIPTORS) / 2) as usize;
+    let max_senders = (descriptors.saturating_sub(OTHER_DESCRIPTORS) / 2) as usize;
     let asked = arguments.senders;
-    let arguments = Arguments { senders: asked.min(held), ..arguments };
+    let arguments = Arguments { senders: asked.min(max_senders), ..arguments };
     let list = {
         let _guard = service.enter();
         let size = Size::single(arguments.destinations);
         ListService::start(Deployment::new(SEED, size, Addresses::Synthetic))?
     };
     let at = list.address(0);
-    let read = tokio::task::spawn_blocking(move || read_list(at).map_err(|e| e.to_string()));
+    let read = tokio::task::spawn_blocking(move || load_list(at).map_err(|e| e.to_string()));
     let (catalogue, _) = read.await??;
     let spec = FleetSpec {
         seed: SEED,
         senders: arguments.senders,
-        watch: WATCH / arguments.compression,
+        watch: MAX_WATCH / arguments.compression,
         discovery: (0..REGIONS).map(|region| list.address(region)).collect(),
         catalogue,
     };
@@ -334,8 +345,8 @@
     let mut bench = Bench { arguments, service: list, fleet, random: SEED.stream("changes", 0) };
     eprintln!("{} senders connect", arguments.senders);
     bench.change();
-    if !bench.fleet.progress.wait_for_all(bench.version(), WITHIN).await {
-        return Err("the fleet does not come up".into());
+    if !bench.fleet.progress.wait_for_all(bench.version(), PROPAGATION_TIMEOUT).await {
+        return Err("not all senders have connected and applied a change".into());
     }
     eprintln!("{} changes", arguments.changes);
     let single = bench.single().await?;
@@ -376,7 +387,7 @@
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let (senders, service, own) = (runtime(SENDERS)?, runtime(SERVICE)?, runtime("bench")?);
+    let (senders, service, own) = (runtime(SENDER_THREADS)?, runtime(SERVICE_THREADS)?, runtime("bench")?);
     let report = own.block_on(run(arguments()?, &senders, &service))?;
     println!("{}", serde_json::to_string_pretty(&report)?);
     Ok(())
--- a/crates/testbed/examples/scale_sender.rs
+++ b/crates/testbed/examples/scale_sender.rs
@@ -1,11 +1,12 @@
-//! One real sender over deployments of rising size, idle, with traffic and through whole new lists; then
-//! several together, each with the whole list. JSON on standard output, progress on standard error.
+//! Measures one real sender at rising sizes of the deployment, idle, under traffic and through whole lists,
+//! and then several senders together, each with the whole list. JSON on standard output, progress on standard
+//! error.
 //!
 //!     cargo run --release -p testbed --example scale_sender -- [--small|--full] [--sizes 30,1000] [--endpoints 1.6]
 //!         [--several 40] [--replacements 8] [--silent] [--fleet 1] [--descriptors 128] [--before SENDER] [SENDER]
 //!
-//! Without a program it is the sender of this build; `--before` plays another one beside it, size by size.
-//! `docs/CAPACITY.md` is filled from `--full`.
+//! Without a program the sender of this build is measured; `--before` measures another one beside it at each
+//! size. `docs/CAPACITY.md` is made from a run with `--full`.
 use serde::Serialize;
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -25,7 +26,9 @@
 use tokio::time::sleep;
 
 const SEED: Seed = Seed(30);
+/// Destinations at each size of a full run.
 const FULL: [u32; 6] = [30, 1_000, 10_000, 30_000, 100_000, 350_000];
+/// Destinations at each size of a small run.
 const SMALL: [u32; 3] = [30, 300, 3_000];
 
 struct Arguments {
@@ -34,13 +37,14 @@
     sizes: Vec<u32>,
     endpoints: f64,
     several: usize,
-    /// Whole lists at the largest size.
+    /// Replacements of the whole list at the largest size.
     replacements: usize,
     down: DownBehaviour,
     parameters: SenderParameters,
     load_duration: Duration,
 }
 
+/// Measurements of several senders that run together.
 #[derive(Serialize)]
 struct Several {
     senders: usize,
@@ -52,12 +56,12 @@
     bytes: u64,
 }
 
-/// What one program gave.
+/// The measurements of one program.
 #[derive(Serialize)]
 struct ProgramReport {
     /// `before` or `after`.
     name: &'static str,
-    /// Its file's name.
+    /// The name of its file.
     program: String,
     rows: Vec<Row>,
     several: Option<Several>,
@@ -68,16 +72,16 @@
 struct Report {
     seed: u64,
     endpoints_per_destination: f64,
-    /// Senders that the settings tell of.
+    /// Number of senders in the fleet, as the settings state it.
     fleet: usize,
-    /// Bound on a sender's descriptors.
+    /// Limit on a sender's descriptors.
     descriptors: u64,
-    /// Of the machine, over a minute, as the run began and ended.
+    /// Load average of the machine over a minute, at the start and at the end of the run.
     load_average: [f64; 2],
     programs: Vec<ProgramReport>,
 }
 
-/// Lines over the sizes at which the sender had a list.
+/// Lines fitted over the sizes at which the sender had a list.
 #[derive(Serialize)]
 struct Fits {
     idle_memory_by_destination: Option<Line>,
@@ -119,13 +123,14 @@
             "--fleet" => read.parameters.fleet = value()?.parse()?,
             "--descriptors" => read.parameters.descriptors = value()?.parse()?,
             "--before" => read.before = Some(PathBuf::from(value()?)),
-            option if option.starts_with("--") => return Err(format!("no option {option}").into()),
+            option if option.starts_with("--") => return Err(format!("unknown option {option}").into()),
             _ => read.program = Some(PathBuf::from(word)),
         }
     }
     Ok(read)
 }
 
+/// Measures several senders that run together, each with the whole list.
 async fn several(
     program: &Path,
     senders: usize,
--- a/crates/testbed/examples/scale_tables.rs
+++ b/crates/testbed/examples/scale_tables.rs
@@ -1,56 +1,61 @@
-//! Tables of what the scale tests gave, in full; `page` fills those of `docs/CAPACITY.md` from the files
-//! beside it.
+//! Prints the results of scale measurements as Markdown tables; `page` updates the tables of
+//! `docs/CAPACITY.md` from the files in `docs/capacity`.
 //!
 //!     cargo run --release -p testbed --example scale_tables -- sender FILE... | module FILE... | fleet FILE... | page
 //!
-//! Several files are told apart by their names; the first is usually the state before a change.
+//! Runs are named after their files; the first file is usually the one from before a change.
 use serde_json::Value;
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use testbed::capacity::page;
 use testbed::capacity::table::{percent, short};
 
-/// Destinations at the size that is planned for.
+/// Destinations at the planned size.
 const DESTINATIONS: u32 = 350_000;
 const MB: f64 = 1e6;
 
+/// A run, with the name that the tables give it.
 struct Source {
     name: String,
     value: Value,
 }
 
-/// What a file holds: one run, or one for each program that was played.
+/// Reads the runs of a file: one, or one for each measured program.
 fn read(path: &Path) -> Result<Vec<Source>, Box<dyn Error>> {
     let name = path.file_stem().unwrap_or_default().to_string_lossy().into_owned();
     let value: Value = serde_json::from_slice(&std::fs::read(path)?)?;
     let Some(programs) = value["programs"].as_array() else { return Ok(vec![Source { name, value }]) };
-    let own_name = |program: &Value| program["name"].as_str().unwrap_or_default().to_string();
+    let program_name = |program: &Value| program["name"].as_str().unwrap_or_default().to_string();
     let sources = programs
         .iter()
-        .map(|program| Source { name: format!("{name} {}", own_name(program)), value: program.clone() });
+        .map(|program| Source { name: format!("{name} {}", program_name(program)), value: program.clone() });
     Ok(sources.collect())
 }
 
-/// A number of a JSON value, by the names that lead there; none where it is missing.
+/// Returns the number at a JSON pointer, or NaN if there is none.
 fn number(value: &Value, path: &str) -> f64 {
     value.pointer(path).and_then(Value::as_f64).unwrap_or(f64::NAN)
 }
 
-fn heads(names: &[&str]) {
+/// Prints the head of a table.
+fn print_header(names: &[&str]) {
     println!("\n| {} |", names.join(" | "));
     println!("|{}", " --- |".repeat(names.len()));
 }
 
-fn row(cells: &[String]) {
+/// Prints a row of a table.
+fn print_row(cells: &[String]) {
     println!("| {} |", cells.join(" | "));
 }
 
+/// Returns the rows of a list in a run.
 fn rows<'a>(source: &'a Source, list: &str) -> &'a [Value] {
     source.value.get(list).and_then(Value::as_array).map_or(&[], Vec::as_slice)
 }
 
+/// Prints the tables of `scale_sender`.
 fn sender(sources: &[Source]) {
-    heads(&[
+    print_header(&[
         "run",
         "destinations",
         "ready",
@@ -62,7 +67,7 @@
         "a change",
     ]);
     for (source, one) in sources.iter().flat_map(|s| rows(s, "rows").iter().map(move |r| (s, r))) {
-        row(&[
+        print_row(&[
             source.name.clone(),
             short(number(one, "/destinations")),
             format!("{} ms", short(number(one, "/ready_ms"))),
@@ -74,7 +79,7 @@
             format!("{} us", short(number(one, "/change_processor_us"))),
         ]);
     }
-    heads(&[
+    print_header(&[
         "run",
         "destinations",
         "traffic",
@@ -92,7 +97,7 @@
     for (source, one) in sources.iter().flat_map(|s| rows(s, "rows").iter().map(move |r| (s, r))) {
         for traffic in one["traffic"].as_array().into_iter().flatten() {
             let outcome = &traffic["outcome"];
-            row(&[
+            print_row(&[
                 source.name.clone(),
                 short(number(one, "/destinations")),
                 outcome["skew"].as_str().unwrap_or_default().into(),
@@ -109,7 +114,7 @@
             ]);
         }
     }
-    heads(&[
+    print_header(&[
         "run",
         "destinations",
         "all entries new: lists fetched",
@@ -128,7 +133,7 @@
     ]);
     for (source, one) in sources.iter().flat_map(|s| rows(s, "rows").iter().map(move |r| (s, r))) {
         for new in one["replacements"].as_array().into_iter().flatten() {
-            row(&[
+            print_row(&[
                 source.name.clone(),
                 short(number(one, "/destinations")),
                 short(number(new, "/fetched/whole_lists")),
@@ -147,7 +152,7 @@
             ]);
         }
     }
-    heads(&[
+    print_header(&[
         "run",
         "messages held",
         "memory, MB",
@@ -158,7 +163,7 @@
     ]);
     for (source, one) in sources.iter().flat_map(|s| rows(s, "rows").iter().map(move |r| (s, r))) {
         for point in one["backlog"].as_array().into_iter().flatten() {
-            row(&[
+            print_row(&[
                 source.name.clone(),
                 short(number(point, "/held")),
                 short(number(point, "/memory") / MB),
@@ -187,8 +192,9 @@
     fits(sources);
 }
 
+/// Prints the fitted lines.
 fn fits(sources: &[Source]) {
-    heads(&[
+    print_header(&[
         "run",
         "what",
         "slope",
@@ -203,7 +209,7 @@
         for (name, line) in source.value["fits"].as_object().into_iter().flatten() {
             let (slope, intercept) = (number(line, "/slope"), number(line, "/intercept"));
             let by_destination = name.ends_with("destination");
-            row(&[
+            print_row(&[
                 source.name.clone(),
                 name.replace('_', " "),
                 short(slope),
@@ -218,32 +224,33 @@
     }
 }
 
-/// Tables of rows that are flat, with the names that they have in the file.
+/// Prints the tables of `scale_backlog`, whose columns are named after the fields in the file.
 fn module(sources: &[Source]) {
     for list in ["listed", "told", "used", "held"] {
         println!("\n{list}");
-        let mut headed = false;
+        let mut has_header = false;
         for (source, one) in sources.iter().flat_map(|s| rows(s, list).iter().map(move |r| (s, r))) {
             let Some(fields) = one.as_object() else { continue };
-            // The size comes first, as the rows are by it.
-            let size = |name: &str| name == "destinations" || name == "asked_for";
-            let (first, rest): (Vec<_>, Vec<_>) = fields.iter().partition(|(name, _)| size(name));
+            // The size is the first column.
+            let is_size = |name: &str| name == "destinations" || name == "asked_for";
+            let (first, rest): (Vec<_>, Vec<_>) = fields.iter().partition(|(name, _)| is_size(name));
             let fields: Vec<(&String, &Value)> = first.into_iter().chain(rest).collect();
-            if !std::mem::replace(&mut headed, true) {
+            if !std::mem::replace(&mut has_header, true) {
                 let names: Vec<String> = fields.iter().map(|(name, _)| name.replace('_', " ")).collect();
                 let names: Vec<&str> =
                     std::iter::once("run").chain(names.iter().map(String::as_str)).collect();
-                heads(&names);
+                print_header(&names);
             }
             let cells = fields.iter().map(|(_, v)| v.as_f64().map_or(v.to_string(), short));
-            row(&std::iter::once(source.name.clone()).chain(cells).collect::<Vec<_>>());
+            print_row(&std::iter::once(source.name.clone()).chain(cells).collect::<Vec<_>>());
         }
     }
     fits(sources);
 }
 
+/// Prints the tables of `scale_fleet`.
 fn fleet(sources: &[Source]) {
-    heads(&[
+    print_header(&[
         "run",
         "stretch",
         "changes",
@@ -267,7 +274,7 @@
         for (name, path) in stretches {
             let of = |field: &str| short(number(&source.value, &format!("{path}{field}")));
             let count = |field: &str| number(&source.value, &format!("{path}/counts{field}"));
-            row(&[
+            print_row(&[
                 source.name.clone(),
                 name.into(),
                 of("/in_force/changes"),
@@ -294,7 +301,7 @@
     }
 }
 
-/// Fills the tables of the page, from the files beside it.
+/// Updates the tables of the page from the files beside it.
 fn page() -> Result<(), Box<dyn Error>> {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs");
     let path = docs.join("CAPACITY.md");
@@ -305,7 +312,7 @@
 
 fn main() -> Result<(), Box<dyn Error>> {
     let mut given = std::env::args().skip(1);
-    let what = given.next().ok_or("which tables?")?;
+    let what = given.next().ok_or("missing argument: sender, module, fleet or page")?;
     let sources = given.map(|file| read(&PathBuf::from(file))).collect::<Result<Vec<_>, _>>()?;
     let sources: Vec<Source> = sources.into_iter().flatten().collect();
     match what.as_str() {
@@ -313,7 +320,7 @@
         "module" => module(&sources),
         "fleet" => fleet(&sources),
         "page" => page()?,
-        other => return Err(format!("no tables of {other}").into()),
+        other => return Err(format!("unknown argument {other}").into()),
     }
     Ok(())
 }
--- a/crates/testbed/tests/capacity_page.rs
+++ b/crates/testbed/tests/capacity_page.rs
@@ -1,5 +1,5 @@
-//! Guards against tables of `docs/CAPACITY.md` that differ from the measured files, as after a new measurement or an edit
-//! by hand.
+//! Guards against tables of `docs/CAPACITY.md` that differ from the measured files, as after a new
+//! measurement or an edit by hand.
 use std::path::Path;
 use testbed::capacity::page;
 
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -1,4 +1,4 @@
-//! The scale tests in a small size: slopes, ratios and counts, which repeat on a busy machine too.
+//! Scale measurements at small sizes, as slopes, ratios and counts that do not depend on the machine's load.
 use catalogue::{intake, Catalogue, Limits};
 use sender::api::Outcome;
 use std::time::Duration;
@@ -16,13 +16,14 @@
 
 const SEED: Seed = Seed(30);
 const LIMITS: Limits = Limits { max_entries: usize::MAX, max_bytes: usize::MAX };
+/// Senders of a fleet.
 const SENDERS: usize = 52;
-/// Longer than anything here takes on whatever machine; nothing is asserted of it but that it is not reached.
-const BOUND: Duration = Duration::from_secs(60);
-/// The aim for a listed destination with one endpoint.
-const BYTES_BY_DESTINATION: f64 = 64.0;
-/// What a change may cost a sender: two entries and the heads, with room for longer names.
-const BYTES_BY_CHANGE: u64 = 1_024;
+/// Longer than any step takes on any machine; a step that reaches it fails.
+const TIMEOUT: Duration = Duration::from_secs(60);
+/// Target for the catalogue's memory per listed destination with one endpoint.
+const MAX_BYTES_PER_DESTINATION: f64 = 64.0;
+/// Limit on the bytes that a change may cost a sender: two entries and the heads, with room for longer names.
+const MAX_BYTES_PER_CHANGE: u64 = 1_024;
 
 fn deployment(destinations: u32) -> Deployment {
     Deployment::new(SEED, Size::single(destinations), Addresses::Synthetic)
@@ -40,45 +41,49 @@
     module
 }
 
-fn line(sizes: &[u32], of: impl Fn(u32) -> usize) -> Line {
-    let points: Vec<(f64, f64)> = sizes.iter().map(|&size| (f64::from(size), of(size) as f64)).collect();
+/// Fits a line to a value that is measured at several sizes.
+fn fit_line(sizes: &[u32], measure: impl Fn(u32) -> usize) -> Line {
+    let points: Vec<(f64, f64)> = sizes.iter().map(|&size| (f64::from(size), measure(size) as f64)).collect();
     println!("{points:?}");
-    Line::fit(&points).expect("there are several sizes")
+    Line::fit(&points).expect("at least two sizes")
 }
 
 #[test]
-fn a_listed_destination_takes_64_bytes_at_most_and_memory_grows_in_a_straight_line() {
+fn catalogue_takes_at_most_64_bytes_per_destination_and_grows_linearly() {
     println!("seed {}", SEED.0);
     let sizes = [20_000, 40_000, 80_000, 160_000];
-    let line = line(&sizes, |destinations| {
+    let line = fit_line(&sizes, |destinations| {
         let list = list(destinations);
         let before = MEMORY.in_use();
         let taken = intake::read(list.as_slice(), &Catalogue::default(), &LIMITS).unwrap();
         assert_eq!((taken.entries, taken.unreadable), (destinations as usize, 0));
         MEMORY.in_use() - before
     });
-    assert!(line.slope <= BYTES_BY_DESTINATION, "{line:?}");
+    assert!(line.slope <= MAX_BYTES_PER_DESTINATION, "{line:?}");
     assert!(line.residual < 0.02 * line.predict(f64::from(sizes[3])), "{line:?}");
 }
 
 #[test]
-fn taking_a_list_in_needs_no_more_at_a_time_than_two_catalogues() {
+fn loading_a_list_peaks_at_two_catalogues() {
     println!("seed {}", SEED.0);
     let list = list(100_000);
     let before = MEMORY.in_use();
     let first = intake::read(list.as_slice(), &Catalogue::default(), &LIMITS).unwrap().catalogue;
-    let one = MEMORY.in_use() - before;
+    let catalogue_bytes = MEMORY.in_use() - before;
     MEMORY.take_peak();
     let second = intake::read(list.as_slice(), &first, &LIMITS).unwrap().catalogue;
-    let most = MEMORY.take_peak() - before;
+    let peak = MEMORY.take_peak() - before;
     assert_eq!(second.len(), 100_000);
-    assert!(most as f64 <= 2.3 * one as f64, "{most} bytes at a time, {one} for one");
+    assert!(
+        peak as f64 <= 2.3 * catalogue_bytes as f64,
+        "peak of {peak} bytes, {catalogue_bytes} for one catalogue"
+    );
 }
 
 #[test]
-fn the_module_has_no_state_for_listed_destinations() {
+fn module_holds_no_state_for_listed_destinations() {
     println!("seed {}", SEED.0);
-    let line = line(&[30, 300, 3_000, 30_000], |destinations| {
+    let line = fit_line(&[30, 300, 3_000, 30_000], |destinations| {
         let list = list(destinations);
         let mut module = ModuleHarness::new(&module_settings(), Outcome::Served);
         let taken = intake::read(list.as_slice(), &Catalogue::default(), &LIMITS).unwrap();
@@ -92,42 +97,42 @@
 }
 
 #[test]
-fn memory_follows_the_destinations_that_are_used_not_those_that_are_listed() {
+fn module_memory_depends_on_used_not_listed_destinations() {
     println!("seed {}", SEED.0);
-    let state = |listed: u32| {
+    let module_bytes = |listed: u32| {
         let mut module = module_with_list(listed);
         let before = MEMORY.in_use();
-        assert!(module.offer(200, 20, 200, BOUND));
+        assert!(module.offer(200, 20, 200, TIMEOUT));
         module.run_rounds(20);
         assert_eq!((module.delivered, module.known_destinations()), (200, 200));
         (MEMORY.in_use() - before) as f64
     };
-    let (few, many) = (state(200), state(20_000));
-    assert!((many / few - 1.0).abs() < 0.05, "{few} bytes among 200, {many} among 20,000");
+    let (few, many) = (module_bytes(200), module_bytes(20_000));
+    assert!((many / few - 1.0).abs() < 0.05, "{few} bytes with 200 listed, {many} with 20,000");
 }
 
 #[test]
-fn memory_of_used_destinations_levels_off() {
+fn module_memory_of_used_destinations_levels_off() {
     println!("seed {}", SEED.0);
-    let state = |used: u32| {
+    let module_bytes = |used: u32| {
         let mut module = module_with_list(used);
         let before = MEMORY.in_use();
-        assert!(module.offer(used.into(), 20, used.into(), BOUND));
+        assert!(module.offer(used.into(), 20, used.into(), TIMEOUT));
         module.run_rounds(20);
         assert_eq!(module.delivered, u64::from(used));
         (MEMORY.in_use() - before) as f64
     };
-    let (few, many) = (state(6_000), state(18_000));
+    let (few, many) = (module_bytes(6_000), module_bytes(18_000));
     assert!(many / few < 1.5, "{few} bytes after 6,000 used destinations, {many} after 18,000");
 }
 
 #[test]
-fn a_change_to_a_large_list_copies_a_small_part_of_it() {
+fn change_of_a_large_list_copies_a_small_part() {
     println!("seed {}", SEED.0);
     let mut log = ChangeLog::new(deployment(100_000));
     let first =
         intake::read(log.since(None).parts.concat().as_slice(), &Catalogue::default(), &LIMITS).unwrap();
-    let whole = first.catalogue.heap_bytes();
+    let catalogue_bytes = first.catalogue.heap_bytes();
     let before = log.generation();
     log.apply(Change::Replace(77_777));
     let change = log.since(Some(before)).parts.concat();
@@ -135,36 +140,36 @@
     let start = MEMORY.in_use();
     let second = intake::read(change.as_slice(), &first.catalogue, &LIMITS).unwrap();
     assert_eq!(second.changed.len(), 2);
-    let most = MEMORY.take_peak() - start;
-    assert!(most < whole / 20, "{most} bytes for one change of {whole}");
+    let peak = MEMORY.take_peak() - start;
+    assert!(peak < catalogue_bytes / 20, "{peak} bytes for one change, the catalogue has {catalogue_bytes}");
 }
 
 #[test]
-fn a_held_message_takes_the_same_memory_in_a_small_and_in_a_large_backlog() {
+fn memory_per_held_message_is_independent_of_backlog_size() {
     println!("seed {}", SEED.0);
-    let line = line(&[1_000, 2_000, 4_000, 8_000], |messages| {
+    let line = fit_line(&[1_000, 2_000, 4_000, 8_000], |messages| {
         let mut settings = module_settings();
         settings.max_open = 2 * messages as usize;
         let mut module = ModuleHarness::new(&settings, Outcome::NoConnection);
         module.tell_whole_list(100);
         module.run_rounds(2);
         let before = MEMORY.in_use();
-        assert!(module.offer(messages.into(), 500, 100, BOUND));
+        assert!(module.offer(messages.into(), 500, 100, TIMEOUT));
         assert_eq!(module.open_messages(), u64::from(messages));
         MEMORY.in_use() - before
     });
-    // Containers double, so the points lie on both sides of the line.
+    // Containers grow by doubling, so the points lie on both sides of the line.
     assert!((100.0..400.0).contains(&line.slope), "{line:?}");
 }
 
-/// A fleet and the service that it watches.
-struct Bench {
+/// A fleet and the list service that it watches.
+struct WatchedFleet {
     service: ListService,
     fleet: Fleet,
 }
 
-impl Bench {
-    async fn start(destinations: u32) -> Bench {
+impl WatchedFleet {
+    async fn start(destinations: u32) -> WatchedFleet {
         let service = ListService::start(deployment(destinations)).unwrap();
         let first = intake::read(list(destinations).as_slice(), &Catalogue::default(), &LIMITS).unwrap();
         assert_eq!(first.generation, service.generation());
@@ -175,61 +180,64 @@
             discovery: (0..REGIONS).map(|region| service.address(region)).collect(),
             catalogue: first.catalogue,
         };
-        let bench = Bench { service, fleet: Fleet::start(&spec) };
-        // All watch from here on.
-        bench.change(Change::Weight(0, 0.5));
-        assert!(bench.fleet.progress.wait_for_all(bench.service.generation(), BOUND).await);
-        bench
+        let watched = WatchedFleet { service, fleet: Fleet::start(&spec) };
+        // A first change ensures that all senders watch from here on.
+        watched.apply(Change::Weight(0, 0.5));
+        assert!(watched.fleet.progress.wait_for_all(watched.service.generation(), TIMEOUT).await);
+        watched
     }
 
-    fn change(&self, change: Change) -> u64 {
+    fn apply(&self, change: Change) -> u64 {
         self.fleet.progress.note_published(self.service.generation() + 1);
         self.service.apply(change)
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_fleet_has_each_change_everywhere_and_pays_for_its_own_size() {
+async fn fleet_applies_each_change_everywhere_at_bounded_bytes() {
     println!("seed {}", SEED.0);
-    let bench = Bench::start(2_000).await;
-    let before = bench.service.counts();
-    bench.fleet.progress.take_times();
+    let watched = WatchedFleet::start(2_000).await;
+    let before = watched.service.counts();
+    watched.fleet.progress.take_times();
     for number in 1..=20 {
-        let version = bench.change(Change::Replace(number));
-        assert!(bench.fleet.progress.wait_for_all(version, BOUND).await, "version {version}");
+        let version = watched.apply(Change::Replace(number));
+        assert!(watched.fleet.progress.wait_for_all(version, TIMEOUT).await, "version {version}");
     }
-    let (counts, seen) = (bench.service.counts().since(&before), bench.fleet.progress.take_times());
-    assert_eq!((seen.changes, seen.everywhere, counts.whole_lists), (20, 20, 0));
-    // Watches that ran out meanwhile are no cost of a change.
-    let empty = counts.empty_answers * 256;
-    let each = (counts.bytes - empty.min(counts.bytes)) / 20 / SENDERS as u64;
-    assert!(each <= BYTES_BY_CHANGE, "{each} bytes by change and sender: {counts:?}");
-    bench.fleet.end().await;
+    let (counts, times) = (watched.service.counts().since(&before), watched.fleet.progress.take_times());
+    assert_eq!((times.changes, times.everywhere, counts.whole_lists), (20, 20, 0));
+    // Watches that expired meanwhile are not a cost of the changes.
+    let empty_bytes = counts.empty_answers * 256;
+    let bytes_per_change = (counts.bytes - empty_bytes.min(counts.bytes)) / 20 / SENDERS as u64;
+    assert!(
+        bytes_per_change <= MAX_BYTES_PER_CHANGE,
+        "{bytes_per_change} bytes per change and sender: {counts:?}"
+    );
+    watched.fleet.end().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_region_that_was_cut_off_fetches_the_changes_alone() {
+async fn region_fetches_only_changes_after_a_cut() {
     println!("seed {}", SEED.0);
-    let bench = Bench::start(2_000).await;
-    let whole = list(2_000).len() as u64;
-    bench.service.set_cut(1, true);
+    let watched = WatchedFleet::start(2_000).await;
+    let list_bytes = list(2_000).len() as u64;
+    watched.service.set_cut(1, true);
     let mut last = 0;
     for number in 100..130 {
-        last = bench.change(Change::Drain(number));
+        last = watched.apply(Change::Drain(number));
     }
-    let rest = SENDERS - SENDERS / REGIONS as usize;
-    assert!(bench.fleet.progress.wait_for(rest, last, BOUND).await);
+    let others = SENDERS - SENDERS / REGIONS as usize;
+    assert!(watched.fleet.progress.wait_for(others, last, TIMEOUT).await);
     assert_eq!(
-        bench.fleet.progress.senders_with(last),
-        rest,
-        "who is cut off has nothing new, all others have"
+        watched.fleet.progress.senders_with(last),
+        others,
+        "the cut region must have no change, all others the last one"
     );
-    let before = bench.service.counts();
-    bench.service.set_cut(1, false);
-    assert!(bench.fleet.progress.wait_for_all(last, BOUND).await);
-    let healed = bench.service.counts().since(&before);
-    assert_eq!(healed.whole_lists, 0, "{healed:?}");
-    let each = healed.bytes / (SENDERS as u64 / u64::from(REGIONS));
-    assert!(each < whole / 10, "{each} bytes each, the list has {whole}");
-    bench.fleet.end().await;
+    let before = watched.service.counts();
+    watched.service.set_cut(1, false);
+    assert!(watched.fleet.progress.wait_for_all(last, TIMEOUT).await);
+    let since_heal = watched.service.counts().since(&before);
+    assert_eq!(since_heal.whole_lists, 0, "{since_heal:?}");
+    let bytes_per_sender = since_heal.bytes / (SENDERS as u64 / u64::from(REGIONS));
+    assert!(bytes_per_sender < list_bytes / 10, "{bytes_per_sender} bytes each, the list has {list_bytes}");
+    watched.fleet.end().await;
 }
