--- a/src/bin/sender/directory.rs
+++ b/src/bin/sender/directory.rs
@@ -1,4 +1,4 @@
-//! What is listed, for the policy, for calls and for operators: the snapshot in force, in the settings' numbers.
+//! The catalogue in force, as the decision module, calls and operators see it.
 use catalogue::{Catalogue, Lifecycle};
 use sender::api::{DestId, EndpointId, EndpointKind, Entry};
 use sender::listed::{CatalogueDirectory, SettingsNames};
@@ -7,56 +7,60 @@
 use std::cell::{Cell, Ref, RefCell};
 use std::net::SocketAddr;
 
-/// What shares one told wait: a destination, or one endpoint of it where routes are separate.
+/// What shares one rate limit and one `Retry-After`: a destination, or one of its endpoints where routes are
+/// separate.
 pub type Route = (DestId, Option<EndpointId>);
 
-/// Where an endpoint is called.
+/// The address and the route of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
     pub address: SocketAddr,
     pub route: Route,
 }
 
-/// The one holder of the snapshot in force on the loop.
+/// Holds the catalogue in force on the event loop.
 pub struct Directory {
     catalogue: RefCell<Catalogue>,
     has_list: Cell<bool>,
-    words: SettingsNames,
-    /// Properties by kind.
+    names: SettingsNames,
+    /// The properties of each machine type, by its number in the settings.
     properties: Vec<EndpointKind>,
 }
 
 impl Directory {
-    pub fn new(around: &ProgramSettings, kinds: &[EndpointKind]) -> Directory {
+    /// Creates a directory without a list, for the machine types and zones that the settings name.
+    pub fn new(settings: &ProgramSettings, kinds: &[EndpointKind]) -> Directory {
         Directory {
             catalogue: RefCell::default(),
             has_list: Cell::default(),
-            words: SettingsNames { kinds: around.kinds.clone(), zones: around.zones.clone() },
+            names: SettingsNames { kinds: settings.kinds.clone(), zones: settings.zones.clone() },
             properties: kinds.to_vec(),
         }
     }
 
+    /// Borrows the catalogue in force.
     pub fn catalogue(&self) -> Ref<'_, Catalogue> {
         self.catalogue.borrow()
     }
 
-    /// Whether there is a list to go by: one that discovery has told, however short, or one that names anything.
+    /// Returns whether there is a list: one from discovery, even an empty one, or any other that is not
+    /// empty.
     pub fn has_list(&self) -> bool {
         self.has_list.get()
     }
 
-    /// Puts a snapshot in force; the one before is what comes back.
+    /// Puts a catalogue in force and returns the previous one.
     pub fn replace(&self, catalogue: Catalogue) -> Catalogue {
         self.has_list.set(catalogue.generation().is_some() || !catalogue.is_empty());
         self.catalogue.replace(catalogue)
     }
 
-    /// Gives the snapshot up, where another process decides by its own.
+    /// Removes the catalogue after another process has taken over, and returns it.
     pub fn clear(&self) -> Catalogue {
         self.catalogue.take()
     }
 
-    /// Where an endpoint is, as long as it is listed as ready.
+    /// Returns the address and route of an endpoint if it is listed as ready.
     pub fn ready_place(&self, endpoint: EndpointId) -> Option<Place> {
         let catalogue = self.catalogue.borrow();
         let listed = catalogue.get(endpoint).filter(|e| e.lifecycle == Lifecycle::Ready)?;
@@ -66,25 +70,25 @@
         Some(Place { address: listed.address, route })
     }
 
-    /// How many messages one call to an endpoint may hold.
+    /// Returns how many messages one call to an endpoint may carry.
     pub fn batch(&self, endpoint: EndpointId) -> usize {
         let catalogue = self.catalogue.borrow();
         let kind = catalogue.get(endpoint).and_then(|e| self.kind(e.machine_type));
         kind.map_or(1, |kind| self.properties[kind].max_batch.max(1))
     }
 
-    /// The number of a machine type that the settings know.
+    /// Returns the number of a machine type if the settings name it.
     fn kind(&self, machine_type: &str) -> Option<usize> {
-        self.words.kinds.iter().position(|k| k == machine_type).filter(|&kind| kind < self.properties.len())
+        self.names.kinds.iter().position(|k| k == machine_type).filter(|&kind| kind < self.properties.len())
     }
 }
 
 impl on_demand::Directory for Directory {
     fn entry(&self, endpoint: EndpointId) -> Option<Entry> {
-        CatalogueDirectory { catalogue: &self.catalogue(), names: &self.words }.entry(endpoint)
+        CatalogueDirectory { catalogue: &self.catalogue(), names: &self.names }.entry(endpoint)
     }
 
     fn endpoints_of(&self, destination: DestId) -> Vec<EndpointId> {
-        CatalogueDirectory { catalogue: &self.catalogue(), names: &self.words }.endpoints_of(destination)
+        CatalogueDirectory { catalogue: &self.catalogue(), names: &self.names }.endpoints_of(destination)
     }
 }
--- a/src/bin/sender/first_catalogue.rs
+++ b/src/bin/sender/first_catalogue.rs
@@ -1,35 +1,37 @@
-//! The catalogue that a process starts with: the list of its configuration, under the numbers of the module that it goes
-//! on with.
+//! The catalogue that a process starts with: the list of its configuration, under the endpoint numbers of the
+//! decision module that it continues.
 use crate::process_state::Numbered;
 use catalogue::{Catalogue, Endpoint};
 use sender::api::EndpointId;
 
-/// What a process starts with.
+/// The catalogue that a process starts with.
 pub struct FirstCatalogue {
-    /// For the core.
+    /// The catalogue for the core.
     pub in_force: Catalogue,
-    /// For the watch, which may have more to begin with: lists that are older than what the process before had are
-    /// not in force until the first answer has brought them up to date.
+    /// The catalogue for the watch on discovery. It may name more endpoints than `in_force`: a list that is
+    /// older than that of the previous process is not in force until the first answer has brought it up to
+    /// date.
     pub watched: Catalogue,
-    /// What the watch asks for changes since; None: the whole list.
+    /// The generation since which the watch asks for changes; None if it asks for the whole list.
     pub generation: Option<u64>,
-    /// Whether the module has to be told of it.
+    /// Whether the module has not seen this catalogue yet.
     pub new_to_module: bool,
 }
 
 impl FirstCatalogue {
-    /// Whether lists are in force that the watch has not brought up to date.
+    /// Returns whether the watch knows more endpoints than are in force.
     pub fn is_partial(&self) -> bool {
         self.in_force.len() != self.watched.len()
     }
 
-    /// Of a process that starts without another one's numbers.
+    /// Creates the catalogue of a process that starts without the numbers of an earlier one.
     pub fn known(known: Catalogue) -> FirstCatalogue {
         let generation = known.generation();
         FirstCatalogue { in_force: known.clone(), watched: known, generation, new_to_module: true }
     }
 
-    /// Of a process that goes on with the numbers of one that is gone. What that one saw listed says nothing now.
+    /// Creates the catalogue of a process that continues with the numbers of one that has ended. The list
+    /// which that process had is out of date and not used.
     pub fn restarted(
         numbers: &[(EndpointId, String)],
         next_id: EndpointId,
@@ -39,7 +41,7 @@
         FirstCatalogue::known(renumbered(names, next_id, known))
     }
 
-    /// Of a process that another one has handed over to.
+    /// Creates the catalogue of a process that has taken over from a running one.
     pub fn handed_over(numbered: &Numbered, known: Catalogue) -> FirstCatalogue {
         if numbered.generation.is_some() && known.generation() > numbered.generation {
             let names = numbered.endpoints.iter().map(|e| (e.number, e.name.as_str()));
@@ -57,7 +59,7 @@
         let as_old = known.generation().is_some() && known.generation() == numbered.generation;
         FirstCatalogue {
             in_force: if as_old { all.clone() } else { handed },
-            // Without a generation of its own it can't be told what changed since.
+            // Without the generation of the list that was handed over, changes can't be applied to it.
             generation: numbered.generation.and(known.generation()),
             watched: all,
             new_to_module: false,
@@ -65,14 +67,14 @@
     }
 }
 
-/// A list under given numbers, as far as it has their names; others get numbers from `next_id` on.
+/// Gives the endpoints of a list the given numbers by name, and numbers from `next_id` on to all others.
 fn renumbered<'a>(
     numbers: impl Iterator<Item = (EndpointId, &'a str)>,
     next_id: EndpointId,
     known: Catalogue,
 ) -> Catalogue {
     if next_id == 0 {
-        // None were ever given.
+        // No numbers have been given out before.
         return known;
     }
     let listed = |name| known.id(name).and_then(|id| known.get(id));
@@ -82,7 +84,8 @@
     catalogue
 }
 
-/// An endpoint as it was handed over. Versions that handed over no generation did not know zone and weight either.
+/// Returns an endpoint that was handed over, with zone and weight from the known list if they are missing:
+/// versions that hand over no generation hand over neither of them.
 fn completed<'a>(endpoint: Endpoint<'a>, numbered: &Numbered, known: &'a Catalogue) -> Endpoint<'a> {
     let listed = known.id(endpoint.name).and_then(|id| known.get(id));
     match listed.filter(|_| numbered.generation.is_none()) {
--- a/src/bin/sender/first_catalogue/tests.rs
+++ b/src/bin/sender/first_catalogue/tests.rs
@@ -1,9 +1,9 @@
-//! Numbers and lists of a process that follows another one.
+//! Tests of the numbers and the list with which a process follows another one.
 use super::*;
 use crate::process_state::NumberedEndpoint;
 use catalogue::{intake, Lifecycle, Limits};
 
-/// A list of endpoints by name, each ready or not.
+/// Returns a list of endpoints by name, each ready or terminating.
 fn list(generation: u64, endpoints: &[(&str, bool)]) -> Catalogue {
     let entry = |(name, ready): &(&str, bool)| {
         let lifecycle = if *ready { "Ready" } else { "Terminating" };
@@ -16,7 +16,7 @@
     intake::read(text.as_bytes(), &Catalogue::default(), &Limits::none()).unwrap().catalogue
 }
 
-/// What a process hands over whose module knows the endpoints of a list under numbers from 10 on.
+/// Returns what a process hands over whose module knows these endpoints under numbers from 10 on.
 fn numbered(generation: Option<u64>, endpoints: &[(&str, bool)]) -> Numbered {
     let catalogue = list(0, endpoints);
     let numbers = (10..).zip(catalogue.ids().filter_map(|id| catalogue.get(id)));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_list_as_old_as_the_one_handed_over_is_in_force_at_once() {
+fn list_of_same_generation_is_in_force_at_once() {
     let known = list(5, &[("a", true), ("b", true), ("c", true)]);
     let first = FirstCatalogue::handed_over(&numbered(Some(5), &[("c", true)]), known);
     assert!(!first.is_partial() && !first.new_to_module);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_an_older_list_says_beyond_the_one_handed_over_waits_for_the_first_answer() {
+fn older_list_is_watched_but_not_in_force() {
     let known = list(4, &[("a", true), ("b", true)]);
     let first = FirstCatalogue::handed_over(&numbered(Some(5), &[("b", false)]), known);
     assert!(first.is_partial());
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_newer_list_goes_before_the_one_handed_over_and_keeps_its_numbers() {
+fn newer_list_replaces_handed_over_one_and_keeps_numbers() {
     let known = list(6, &[("a", true), ("b", false)]);
     let first = FirstCatalogue::handed_over(&numbered(Some(5), &[("b", true), ("gone", true)]), known);
     assert!(!first.is_partial() && first.new_to_module);
@@ -59,13 +59,13 @@
 }
 
 #[test]
-fn without_a_list_of_its_own_a_process_goes_on_with_what_was_handed_over_and_asks_for_the_whole() {
+fn handed_over_list_is_used_without_known_list() {
     let first = FirstCatalogue::handed_over(&numbered(Some(5), &[("b", true)]), Catalogue::default());
     assert_eq!((first.in_force.len(), first.in_force.id("b"), first.generation), (1, Some(10), None));
 }
 
 #[test]
-fn what_the_version_before_handed_over_is_completed_by_the_list_and_the_whole_is_asked_for() {
+fn handover_without_generation_is_completed_from_known_list() {
     let mut handed = numbered(None, &[("b", true)]);
     (handed.endpoints[0].zone, handed.endpoints[0].weight) = (String::new(), 0.0);
     let first = FirstCatalogue::handed_over(&handed, list(5, &[("a", true), ("b", false)]));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_restarted_process_takes_over_numbers_and_not_what_was_listed_then() {
+fn restarted_process_keeps_numbers_but_not_old_list() {
     let numbers = [(3, "b".to_string()), (4, "gone".to_string())];
     let first = FirstCatalogue::restarted(&numbers, 9, list(5, &[("a", true), ("b", true)]));
     assert_eq!((first.in_force.id("b"), first.in_force.id("a"), first.in_force.len()), (Some(3), Some(9), 2));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_list_that_passes_on_whole_is_in_force_at_once_and_watched_from_its_generation() {
+fn whole_handed_over_list_is_in_force_and_watched() {
     let known = list(4, &[("a", true), ("b", true), ("gone", true)]);
     let whole = Numbered { whole: true, ..numbered(Some(5), &[("a", true), ("b", false)]) };
     let first = FirstCatalogue::handed_over(&whole, known);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_process_that_had_no_list_leaves_the_known_one_to_its_successor() {
+fn known_list_is_watched_if_none_was_handed_over() {
     let nothing = Numbered { whole: true, ..numbered(None, &[]) };
     let first = FirstCatalogue::handed_over(&nothing, list(4, &[("a", true)]));
     assert_eq!(first.watched.len(), 1);
--- a/src/bin/sender/server.rs
+++ b/src/bin/sender/server.rs
@@ -1,4 +1,5 @@
-//! Clients in: takes requests, checks their form, and hands them to the core.
+//! The HTTP server for clients: accepts connections, validates requests and passes their messages to the
+//! core.
 use crate::client::MAX_BODY;
 use crate::directory::Directory;
 use crate::input::{Input, Reply};
@@ -31,75 +32,78 @@
 use tokio::sync::{mpsc, oneshot, watch, Notify};
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-/// How long a connection may take to bring its first whole request, and a later request to bring its body:
-/// strangers are owed an error or a close within 3 s.
-const PATIENCE: Duration = Duration::from_millis(2_500);
-/// Headers of a request in bytes, together: a message's own take a few hundred.
-const MAX_HEAD: usize = 8 << 10;
+/// How long a connection may take to send its first request in full, and a later request to send its body.
+/// Clients with malformed or incomplete requests must get an error or a close within 3 s.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Maximum size of a request's headers in total. The headers of a message take a few hundred bytes.
+const MAX_HEADERS_BYTES: usize = 8 << 10;
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// How long a connection may stand idle that has brought one.
-const IDLE: Duration = Duration::from_secs(75);
-/// From then on an idle one may be closed, where another client needs its place.
-const SPARE: Duration = Duration::from_secs(2);
-const MAX_NAME: usize = 256;
+/// How long a connection may stay idle after a request.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
+/// How long a connection must have been idle before it may be evicted for another client.
+const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_secs(2);
+/// Maximum length of a header value that is parsed as text.
+const MAX_VALUE_BYTES: usize = 256;
 
-/// A client's connection, as far as the choice needs it of which to close.
-struct Link {
-    /// When it was opened or got its last answer.
-    used: Cell<Instant>,
-    /// When it last brought anything.
-    heard: Cell<Instant>,
-    /// Its first request, or a later one that has begun to come, has no answer yet.
-    unfinished: Cell<bool>,
-    /// A request has come whole and has no answer yet.
-    whole: Cell<bool>,
-    /// The headers of the next request as they were read: the library leaves out a length that it does not go by.
+/// The state of a client's connection that decides which connection is evicted when there are too many.
+struct ConnectionState {
+    /// When it was opened or its last answer was given.
+    last_used: Cell<Instant>,
+    /// When bytes were last read from it.
+    last_read: Cell<Instant>,
+    /// The first request, or a later one of which bytes have been read, has no answer yet.
+    request_started: Cell<bool>,
+    /// A request has been read in full and has no answer yet.
+    request_complete: Cell<bool>,
+    /// The raw headers of the next request. They are kept because hyper removes a Content-Length that it
+    /// ignores.
     head: RefCell<Vec<u8>>,
-    /// Requests without their answer.
-    busy: Cell<u32>,
-    /// Its next answer is its last.
-    ending: Cell<bool>,
-    /// Nothing that comes on it is acted on any more.
+    /// Requests without an answer.
+    unanswered: Cell<u32>,
+    /// The next answer is sent with `Connection: close`.
+    closing: Cell<bool>,
+    /// The connection is in its lingering close: whatever is read is discarded.
     lingering: Cell<bool>,
-    /// What it was when its place was given to another.
-    evicted: Cell<Option<Spare>>,
-    end: Notify,
-    /// A request has got its answer.
-    free: Notify,
+    /// Its eviction class at the time when it was evicted.
+    evicted: Cell<Option<EvictionClass>>,
+    /// Notified when the connection is evicted.
+    evict: Notify,
+    /// Notified when a request has been answered.
+    answered: Notify,
 }
 
-impl Link {
-    fn new(used: Instant, unfinished: bool) -> Link {
-        Link {
-            used: Cell::new(used),
-            heard: Cell::new(Instant::now()),
-            unfinished: Cell::new(unfinished),
-            whole: Cell::default(),
+impl ConnectionState {
+    fn new(last_used: Instant, request_started: bool) -> ConnectionState {
+        ConnectionState {
+            last_used: Cell::new(last_used),
+            last_read: Cell::new(Instant::now()),
+            request_started: Cell::new(request_started),
+            request_complete: Cell::default(),
             head: RefCell::default(),
-            busy: Cell::default(),
-            ending: Cell::default(),
+            unanswered: Cell::default(),
+            closing: Cell::default(),
             lingering: Cell::default(),
             evicted: Cell::default(),
-            end: Notify::new(),
-            free: Notify::new(),
+            evict: Notify::new(),
+            answered: Notify::new(),
         }
     }
 
-    /// Notes what was read of the next request, up to the end of its headers.
-    fn note(&self, read: &[u8]) {
+    /// Appends bytes of the next request to `head`, up to the end of its headers.
+    fn record_head(&self, read: &[u8]) {
         let mut head = self.head.borrow_mut();
         if head.ends_with(HEAD_END) {
             return;
         }
-        let room = MAX_HEAD.saturating_sub(head.len());
+        let room = MAX_HEADERS_BYTES.saturating_sub(head.len());
         head.extend_from_slice(&read[..read.len().min(room)]);
         if let Some(end) = head.windows(HEAD_END.len()).position(|w| w == HEAD_END) {
             head.truncate(end + HEAD_END.len());
         }
     }
 
-    /// Whether the request's headers were all seen, and hold no length of the body.
-    fn tells_no_length(&self) -> bool {
+    /// Returns whether the headers are complete and contain no Content-Length.
+    fn lacks_content_length(&self) -> bool {
         let head = self.head.borrow();
         let named =
             |line: &[u8]| line.split(|&b| b == b':').next().map(|n| n.trim_ascii().to_ascii_lowercase());
@@ -107,99 +111,106 @@
         head.ends_with(HEAD_END) && !head.split(|&b| b == b'\n').any(length)
     }
 
-    /// Whether it may lose its place to another client, and which one is to lose it first: one that lingers, or
-    /// stands idle, costs its client nothing; then the one that leaves its request unfinished and has been silent
-    /// longest.
-    fn spare(&self) -> Option<(Spare, Instant)> {
+    /// Returns the rank by which connections are evicted, the lowest first; None if this one may not be
+    /// evicted. Closing a lingering or idle connection costs its client nothing. After those comes the
+    /// connection with an incomplete request that has been silent longest.
+    fn eviction_rank(&self) -> Option<(EvictionClass, Instant)> {
         if self.evicted.get().is_some() {
             return None;
         }
-        let spare = match (self.lingering.get(), self.whole.get(), self.unfinished.get()) {
-            (true, ..) => Spare::Lingering,
+        let class = match (self.lingering.get(), self.request_complete.get(), self.request_started.get()) {
+            (true, ..) => EvictionClass::Lingering,
             (_, true, _) => return None,
-            (.., true) => Spare::Unfinished,
-            _ if self.used.get().elapsed() < SPARE => return None,
-            _ => Spare::Idle,
+            (.., true) => EvictionClass::IncompleteRequest,
+            _ if self.last_used.get().elapsed() < MIN_IDLE_BEFORE_EVICTION => return None,
+            _ => EvictionClass::Idle,
         };
-        Some((spare, self.heard.get()))
+        Some((class, self.last_read.get()))
     }
 
-    /// It stands between two requests, and not a byte of the next one was read.
-    fn rests(&self) -> bool {
-        self.busy.get() == 0 && !self.unfinished.get()
+    /// Returns whether all requests are answered and no byte of the next one has been read.
+    fn is_idle(&self) -> bool {
+        self.unanswered.get() == 0 && !self.request_started.get()
     }
 }
 
-/// What a connection is that may lose its place, the first to lose it first.
+/// Classes of connections that may be evicted, in the order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Spare {
+enum EvictionClass {
     Lingering,
     Idle,
-    Unfinished,
+    IncompleteRequest,
 }
 
-/// Notes when something was read.
-struct Heard {
-    from: OwnedReadHalf,
-    link: Rc<Link>,
+/// The reading half of a connection; records in the connection's state what is read and when.
+struct ObservedReader {
+    inner: OwnedReadHalf,
+    state: Rc<ConnectionState>,
 }
 
-impl AsyncRead for Heard {
+impl AsyncRead for ObservedReader {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let done = Pin::new(&mut self.from).poll_read(cx, buf);
+        let done = Pin::new(&mut self.inner).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.link.heard.set(Instant::now());
-            self.link.note(&buf.filled()[before..]);
-            self.link.unfinished.set(true);
+            self.state.last_read.set(Instant::now());
+            self.state.record_head(&buf.filled()[before..]);
+            self.state.request_started.set(true);
         }
         done
     }
 }
 
-/// What is done with clients' connections.
+/// What the server does with clients' connections.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
+    /// Accepts and serves connections.
     Serving,
-    /// They end between requests.
+    /// Closes each connection between two requests.
     Closing,
-    /// They pass on to the next process between requests.
+    /// Passes each connection to the next process between two requests.
     Moving,
 }
 
-/// A client's connection between two requests.
+/// A client's connection between two requests, as it passes from one process to the next.
 pub struct Moved {
     pub stream: TcpStream,
-    /// What was read of the next request.
+    /// Bytes of the next request that were read already.
     pub read: Bytes,
-    /// Whether it has brought a whole request.
+    /// Whether the connection has had a complete request.
     pub whole: bool,
+    /// Time since it was opened or its last answer was given.
     pub stood: Duration,
 }
 
+/// The HTTP server for clients.
 pub struct Server {
     pub core: mpsc::Sender<Input>,
     directory: Rc<Directory>,
     pub around: ProgramSettings,
+    /// The effect of each class, by the number of the class.
     pub effects: Vec<Effect>,
-    /// Most connections that are served.
+    /// Maximum number of connections that are served.
     pub most: usize,
-    /// Connections over that bound that are still told 503; what comes beyond them waits to be accepted.
+    /// Maximum number of connections above `most` that are answered 503; further ones wait to be accepted.
     pub turned_away: usize,
     pub open: Cell<usize>,
+    /// Notified when a connection has been closed or moved.
     pub closed: Notify,
     phase: watch::Receiver<Phase>,
-    /// Where connections go that can pass on; no more than there are open.
+    /// Takes connections for the next process. Unbounded, but never longer than the number of open
+    /// connections.
     moved: mpsc::UnboundedSender<Moved>,
-    links: RefCell<HashMap<u64, Rc<Link>>>,
-    next_link: Cell<u64>,
+    connections: RefCell<HashMap<u64, Rc<ConnectionState>>>,
+    next_connection_id: Cell<u64>,
 }
 
 impl Server {
+    /// Creates a server with `most` connections that are served and `turned_away` more that are answered 503.
     pub fn new(
         (core, directory): (mpsc::Sender<Input>, Rc<Directory>),
         around: ProgramSettings,
@@ -208,7 +219,7 @@
         phase: watch::Receiver<Phase>,
         moved: mpsc::UnboundedSender<Moved>,
     ) -> Server {
-        let (open, closed, links, next_link) = Default::default();
+        let (open, closed, connections, next_connection_id) = Default::default();
         Server {
             core,
             directory,
@@ -220,29 +231,35 @@
             closed,
             phase,
             moved,
-            links,
-            next_link,
+            connections,
+            next_connection_id,
         }
     }
 
-    /// Ends a connection that can be spared: clients keep what they once opened, and some never finish what they
-    /// began, so that without this those of a busy moment would hold all places for as long as they may.
-    fn make_place(&self) -> bool {
-        let links = self.links.borrow();
-        let first = links.values().filter_map(|l| Some((l.spare()?, l))).min_by_key(|(rank, _)| *rank);
-        if let Some(((spare, _), link)) = first {
-            link.evicted.set(Some(spare));
-            link.end.notify_one();
+    /// Evicts the connection with the lowest eviction rank; returns whether there was one. Clients keep
+    /// connections open and some never complete a request, so without eviction the connections of a peak
+    /// would use up the limit until their timeouts.
+    fn evict_one(&self) -> bool {
+        let connections = self.connections.borrow();
+        let first = connections
+            .values()
+            .filter_map(|state| Some((state.eviction_rank()?, state)))
+            .min_by_key(|(rank, _)| *rank);
+        if let Some(((class, _), state)) = first {
+            state.evicted.set(Some(class));
+            state.evict.notify_one();
         }
         first.is_some()
     }
 
-    /// The last places are left: a connection that stood idle after its answer would keep others out.
-    fn scarce(&self) -> bool {
+    /// Returns whether the limit of connections is nearly reached. Connections are then closed after each
+    /// answer, as idle ones would keep other clients out.
+    fn is_nearly_full(&self) -> bool {
         self.open.get() + self.turned_away >= self.most
     }
 
-    /// Accepts until this is given up or the phase changes; the connections then end, or pass on, between requests.
+    /// Accepts connections until the future is dropped or the phase changes. In the new phase connections are
+    /// closed or moved between two requests.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let mut phase = self.phase.clone();
         loop {
@@ -253,8 +270,8 @@
                 accepted = listener.accept(), if !full => match accepted {
                     Ok((stream, _)) => stream,
                     Err(error) => {
-                        // Out of descriptors, say: the sender goes on with those that it has.
-                        tracing::warn!(%error, "cannot accept");
+                        // For example, no descriptor is left; open connections are still served.
+                        tracing::warn!(%error, "cannot accept a client's connection");
                         sleep(Duration::from_millis(20)).await;
                         continue;
                     }
@@ -264,34 +281,38 @@
         }
     }
 
-    /// Once `accept` has returned for good: takes what had connected by then, as far as there are places, and
-    /// closes the listener. Who comes later is refused at once instead of waiting for the process to end.
+    /// Accepts the connections that are already queued, up to the limit, and closes the listener, so that
+    /// later ones are refused at once instead of waiting for the process to end. To be called after `accept`
+    /// has returned.
     pub fn close(self: &Rc<Self>, listener: std::net::TcpListener) {
         while self.open.get() < self.most + self.turned_away.max(1) {
             let accepted = listener.accept().and_then(|(s, _)| s.set_nonblocking(true).map(|()| s));
             match accepted.and_then(TcpStream::from_std) {
                 Ok(stream) => self.admit_new(stream),
-                // Nobody waits, or nobody can be taken.
+                // The queue is empty, or no connection can be accepted.
                 Err(_) => return,
             }
         }
     }
 
-    /// Whether a request was read, be it in part, that has no answer yet.
+    /// Returns whether any request that has been read, in full or in part, has no answer yet.
     pub fn owes_answers(&self) -> bool {
-        self.links.borrow().values().any(|l| !l.lingering.get() && !l.head.borrow().is_empty())
+        self.connections
+            .borrow()
+            .values()
+            .any(|state| !state.lingering.get() && !state.head.borrow().is_empty())
     }
 
     fn admit_new(self: &Rc<Self>, stream: TcpStream) {
-        let full = self.open.get() >= self.most && !self.make_place();
+        let full = self.open.get() >= self.most && !self.evict_one();
         self.admit(Moved { stream, read: Bytes::new(), whole: false, stood: Duration::ZERO }, full);
     }
 
-    /// Goes on with a connection of the process before.
+    /// Serves a connection that the previous process has handed over.
     pub fn adopt(self: &Rc<Self>, socket: OwnedFd, read: Bytes, whole: bool, stood: Duration) {
         match TcpStream::from_std(socket.into()) {
             Ok(stream) => self.admit(Moved { stream, read, whole, stood }, false),
-            Err(error) => tracing::warn!(%error, "cannot go on with a client's connection"),
+            Err(error) => tracing::warn!(%error, "cannot take over a client's connection"),
         }
     }
 
@@ -299,149 +320,163 @@
         self.open.set(self.open.get() + 1);
         let server = self.clone();
         let now = Instant::now();
-        let used = now.checked_sub(client.stood).unwrap_or(now);
-        let link = Rc::new(Link::new(used, !client.whole || !client.read.is_empty()));
-        link.note(&client.read);
-        let number = self.next_link.replace(self.next_link.get() + 1);
-        self.links.borrow_mut().insert(number, link.clone());
+        let last_used = now.checked_sub(client.stood).unwrap_or(now);
+        let state = Rc::new(ConnectionState::new(last_used, !client.whole || !client.read.is_empty()));
+        state.record_head(&client.read);
+        let id = self.next_connection_id.replace(self.next_connection_id.get() + 1);
+        self.connections.borrow_mut().insert(id, state.clone());
         tokio::task::spawn_local(async move {
-            if let Some(client) = server.serve(client, full, &link).await {
+            if let Some(client) = server.serve(client, full, &state).await {
                 let _ = server.moved.send(client);
             }
-            server.links.borrow_mut().remove(&number);
+            server.connections.borrow_mut().remove(&id);
             server.open.set(server.open.get() - 1);
             server.closed.notify_one();
         });
     }
 
-    /// Serves a connection to its end, or until it can pass on.
-    async fn serve(&self, client: Moved, full: bool, link: &Rc<Link>) -> Option<Moved> {
+    /// Serves a connection until it is closed, or until it can be moved, which it then returns. If `full`,
+    /// each of its requests is answered 503.
+    async fn serve(&self, client: Moved, full: bool, state: &Rc<ConnectionState>) -> Option<Moved> {
         let Moved { stream, read, whole, .. } = client;
         let _ = stream.set_nodelay(true);
         let mut phase = self.phase.clone();
-        let accepted = link.used.get();
-        let whole = Cell::new(whole);
+        let accepted = state.last_used.get();
+        let had_request = Cell::new(whole);
         let service = service_fn(|request| {
-            let whole = &whole;
+            let had_request = &had_request;
             Box::pin(async move {
-                link.busy.set(link.busy.get() + 1);
-                let since = if whole.replace(true) { Instant::now() } else { accepted };
-                let mut response =
-                    if full { refused(None) } else { self.answer(request, since + PATIENCE, link).await };
-                if full || self.scarce() || link.ending.get() {
-                    response = last(response);
+                state.unanswered.set(state.unanswered.get() + 1);
+                let since = if had_request.replace(true) { Instant::now() } else { accepted };
+                let mut response = if full {
+                    unavailable(None)
+                } else {
+                    self.answer(request, since + REQUEST_TIMEOUT, state).await
+                };
+                if full || self.is_nearly_full() || state.closing.get() {
+                    response = with_connection_close(response);
                 }
-                link.busy.set(link.busy.get() - 1);
-                link.whole.set(false);
-                link.unfinished.set(false);
-                // Not only emptied: as many connections stand idle as there are places.
-                link.head.take();
-                link.used.set(Instant::now());
-                link.free.notify_one();
+                state.unanswered.set(state.unanswered.get() - 1);
+                state.request_complete.set(false);
+                state.request_started.set(false);
+                // Taken rather than cleared, to free the buffer: there may be as many idle connections as the
+                // limit.
+                state.head.take();
+                state.last_used.set(Instant::now());
+                state.answered.notify_one();
                 Ok::<_, Infallible>(response)
             })
         });
-        // What the process before had read of it comes first.
-        let (from, to) = stream.into_split();
-        let from = Heard { from, link: link.clone() };
-        let io = TokioIo::new(join(Cursor::new(read).chain(from), to));
+        // Bytes that the previous process had read come first.
+        let (reader, writer) = stream.into_split();
+        let reader = ObservedReader { inner: reader, state: state.clone() };
+        let io = TokioIo::new(join(Cursor::new(read).chain(reader), writer));
         let mut connection = Builder::new().serve_connection(io, service);
         let mut moving = false;
-        // When it was told to end in the middle of a request.
-        let mut ending: Option<Instant> = None;
-        let stream = |parts: Parts<_, _>| -> (Option<TcpStream>, Bytes) {
-            let io: TokioIo<Join<Chain<Cursor<Bytes>, Heard>, OwnedWriteHalf>> = parts.io;
-            let (from, to) = io.into_inner().into_inner();
-            let (ahead, from) = from.into_inner();
+        // When closing began, if it did so in the middle of a request.
+        let mut closing_since: Option<Instant> = None;
+        // Takes the connection apart into its socket and the bytes that were read but not used.
+        let into_stream = |parts: Parts<_, _>| -> (Option<TcpStream>, Bytes) {
+            let io: TokioIo<Join<Chain<Cursor<Bytes>, ObservedReader>, OwnedWriteHalf>> = parts.io;
+            let (reader, writer) = io.into_inner().into_inner();
+            let (ahead, reader) = reader.into_inner();
             let unread = ahead.get_ref().get(ahead.position() as usize..).unwrap_or_default();
             let read = [&parts.read_buf, unread].concat().into();
-            (from.from.reunite(to).ok(), read)
+            (reader.inner.reunite(writer).ok(), read)
         };
         loop {
-            if moving && link.busy.get() == 0 {
-                let (stream, read) = stream(connection.into_parts());
+            if moving && state.unanswered.get() == 0 {
+                let (stream, read) = into_stream(connection.into_parts());
                 return Some(Moved {
                     stream: stream?,
                     read,
-                    whole: whole.get(),
-                    stood: link.used.get().elapsed(),
+                    whole: had_request.get(),
+                    stood: state.last_used.get().elapsed(),
                 });
             }
-            if ending.is_some() && link.rests() {
+            if closing_since.is_some() && state.is_idle() {
                 break;
             }
-            let until = match ending {
-                _ if !whole.get() => link.used.get() + PATIENCE,
-                Some(told) => told + PATIENCE,
-                None => link.used.get() + IDLE,
+            let deadline = match closing_since {
+                _ if !had_request.get() => state.last_used.get() + REQUEST_TIMEOUT,
+                Some(since) => since + REQUEST_TIMEOUT,
+                None => state.last_used.get() + IDLE_TIMEOUT,
             };
             tokio::select! {
-                // First, so that an answer is written before its connection passes on or ends.
+                // The connection is polled first, so that an answer is written before it is moved or closed.
                 biased;
                 _ = poll_fn(|cx| connection.poll_without_shutdown(cx)) => break,
-                () = link.free.notified() => {}
-                changed = phase.wait_for(|p| *p != Phase::Serving), if ending.is_none() && !moving => {
+                () = state.answered.notified() => {}
+                changed = phase.wait_for(|p| *p != Phase::Serving), if closing_since.is_none() && !moving => {
                     moving = changed.is_ok_and(|p| *p == Phase::Moving) && !full;
                     if !moving {
-                        ending = Some(Instant::now());
-                        link.ending.set(true);
+                        closing_since = Some(Instant::now());
+                        state.closing.set(true);
                     }
                 }
-                () = link.end.notified() => {
-                    // Its place is needed. What has come meanwhile on one that rested, or whole, is answered first.
-                    let unfinished = link.evicted.get() == Some(Spare::Unfinished) && !link.whole.get();
-                    if unfinished || link.rests() {
+                () = state.evict.notified() => {
+                    // A request that arrived after an idle connection was evicted, or that has become
+                    // complete, is answered first.
+                    let incomplete = state.evicted.get() == Some(EvictionClass::IncompleteRequest)
+                        && !state.request_complete.get();
+                    if incomplete || state.is_idle() {
                         return None;
                     }
-                    ending = ending.or(Some(Instant::now()));
-                    link.ending.set(true);
+                    closing_since = closing_since.or(Some(Instant::now()));
+                    state.closing.set(true);
                 }
-                // Also one that opens a request and never ends it.
-                () = sleep_until(until), if link.busy.get() == 0 => if link.busy.get() == 0 { break },
+                // This also ends a connection that starts a request and never completes it.
+                () = sleep_until(deadline), if state.unanswered.get() == 0 =>
+                    if state.unanswered.get() == 0 { break },
             }
         }
-        // From here on nothing is read as a request: it could no longer be answered.
-        link.lingering.set(true);
-        if let (Some(stream), _) = stream(connection.into_parts()) {
+        // What is read from here on could no longer be answered, so it is not parsed as a request.
+        state.lingering.set(true);
+        if let (Some(stream), _) = into_stream(connection.into_parts()) {
             tokio::select! {
                 () = linger::close(stream) => {}
-                () = link.end.notified() => {}
+                () = state.evict.notified() => {}
             }
         }
         None
     }
 
+    /// Answers one request. `body_by` is the time by which its body must have been read.
     async fn answer(
         &self,
         request: Request<Incoming>,
         body_by: Instant,
-        link: &Link,
+        state: &ConnectionState,
     ) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
-        if head.headers.contains_key(TRANSFER_ENCODING) && !link.tells_no_length() {
-            // Where this request ends is a matter of opinion, so what follows may not be read as another one.
-            return last(plain(StatusCode::BAD_REQUEST, "the body has two lengths"));
+        if head.headers.contains_key(TRANSFER_ENCODING) && !state.lacks_content_length() {
+            // Parsers disagree on where this request ends, so what follows must not be read as another
+            // request.
+            return with_connection_close(plain(StatusCode::BAD_REQUEST, "the body has two lengths"));
         }
         if head.headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum::<usize>()
-            > MAX_HEAD
+            > MAX_HEADERS_BYTES
         {
-            return last(plain(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "the headers are over 8 KiB"));
+            return with_connection_close(plain(
+                StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+                "the headers are over 8 KiB",
+            ));
         }
         let path = head.uri.path();
         if path == "/healthz" {
             return match head.method {
                 Method::GET | Method::HEAD if self.directory.has_list() => plain(StatusCode::OK, ""),
-                // It would hold all that it takes on until a list comes.
+                // Without a list, every accepted message would wait for the first one.
                 Method::GET | Method::HEAD => {
                     plain(StatusCode::SERVICE_UNAVAILABLE, "no list of endpoints\n")
                 }
                 _ => wrong_method("GET, HEAD"),
             };
         }
-        // A name beyond ASCII comes as it is or percent-encoded.
-        let named = path.trim_start_matches('/').split('/').next().unwrap_or_default();
-        let named = percent_decode_str(named).decode_utf8_lossy();
-        let Some(class) = self.around.classes.iter().position(|c| *c == named && !c.is_empty()) else {
+        // Clients send a class name that is not ASCII either as UTF-8 or percent-encoded.
+        let class_name = path.trim_start_matches('/').split('/').next().unwrap_or_default();
+        let class_name = percent_decode_str(class_name).decode_utf8_lossy();
+        let Some(class) = self.around.classes.iter().position(|c| *c == class_name && !c.is_empty()) else {
             return plain(StatusCode::NOT_FOUND, "no such class of message");
         };
         if head.method != Method::POST {
@@ -450,9 +485,9 @@
         if body.size_hint().lower() > MAX_BODY as u64 {
             return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB");
         }
-        let (mut taken, left) = match self.read_head(&head.headers, class) {
-            Ok(read) => read,
-            Err(why) => return plain(StatusCode::BAD_REQUEST, why),
+        let (mut taken, left) = match self.parse_headers(&head.headers, class) {
+            Ok(parsed) => parsed,
+            Err(reason) => return plain(StatusCode::BAD_REQUEST, reason),
         };
         let end = Instant::now() + left;
         taken.end = wall_ms() + left.as_millis() as i64;
@@ -464,23 +499,24 @@
             Ok(Err(_)) => return plain(StatusCode::BAD_REQUEST, "the body can't be read"),
             Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body does not come"),
         };
-        link.whole.set(true);
+        state.request_complete.set(true);
         let (reply, answer) = oneshot::channel();
         if self.core.try_send(Input::Offer { taken, end, reply }).is_err() {
-            return refused(None);
+            return unavailable(None);
         }
         match answer.await {
             Ok(Reply::TakenOn) => plain(StatusCode::ACCEPTED, ""),
-            Ok(Reply::Refused(after)) => refused(after),
+            Ok(Reply::Refused(retry_after)) => unavailable(retry_after),
             Ok(Reply::Failed) => plain(StatusCode::INTERNAL_SERVER_ERROR, "can't be delivered"),
-            Err(_) => refused(None),
+            Err(_) => unavailable(None),
         }
     }
 
-    /// What a message's headers say, with its body still to come.
-    fn read_head(&self, headers: &HeaderMap, class: usize) -> Result<(Taken, Duration), &'static str> {
-        // What says two things is no proper request: it may be read as another one elsewhere.
-        let own = [
+    /// Parses a message's headers; returns the message, still without its body, and the time left to deliver
+    /// it.
+    fn parse_headers(&self, headers: &HeaderMap, class: usize) -> Result<(Taken, Duration), &'static str> {
+        // A repeated header is ambiguous: another parser may use the other value.
+        let unique = [
             "host",
             "x-trace-id",
             "x-qos",
@@ -489,7 +525,7 @@
             "x-consignee",
             "idempotency-key",
         ];
-        if own.iter().any(|name| headers.get_all(*name).iter().nth(1).is_some()) {
+        if unique.iter().any(|name| headers.get_all(*name).iter().nth(1).is_some()) {
             return Err("a header comes twice");
         }
         if !headers.contains_key(HOST) {
@@ -498,10 +534,10 @@
         let text = |name: &str| {
             let value = headers.get(name)?;
             let read = std::str::from_utf8(value.as_bytes()).map(str::trim).ok();
-            Some(read.filter(|t| t.len() <= MAX_NAME))
+            Some(read.filter(|t| t.len() <= MAX_VALUE_BYTES))
         };
-        let name = &self.around.classes[class];
-        if text("x-qos") != Some(Some(name.as_str())) {
+        let class_name = &self.around.classes[class];
+        if text("x-qos") != Some(Some(class_name.as_str())) {
             return Err("X-Qos is missing, or not the class in the path");
         }
         let trace = text("x-trace-id").flatten().filter(|t| !t.is_empty());
@@ -524,37 +560,40 @@
             Some(Some(key)) if !key.is_empty() => Some(key.to_string()),
             Some(_) => return Err("Idempotency-Key is malformed"),
         };
-        // Without it a repeat would take effect twice.
+        // Without a key, a repeated attempt could take effect twice.
         if key.is_none() && self.effects[class] == Effect::Keyed {
             return Err("Idempotency-Key is missing");
         }
-        let (class, tenant, trace) = (name.clone(), tenant.to_string(), trace.to_string());
+        let (class, tenant, trace) = (class_name.clone(), tenant.to_string(), trace.to_string());
         let taken = Taken { id: 0, class, tenant, dest, trace, key, end: 0, body: Bytes::new() };
         Ok((taken, Duration::from_millis(left.into())))
     }
 }
 
+/// Returns a response with a plain text as its body.
 pub fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
-/// The connection ends with this answer.
-fn last(mut response: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
+/// Marks a response as the last one on its connection.
+fn with_connection_close(mut response: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
+/// Returns a 405 response that names the allowed methods.
 pub fn wrong_method(allowed: &'static str) -> Response<Full<Bytes>> {
     let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "");
     response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
     response
 }
 
-fn refused(after: Option<Duration>) -> Response<Full<Bytes>> {
+/// Returns a 503 response that asks to retry after the given time, or after one second.
+fn unavailable(retry_after: Option<Duration>) -> Response<Full<Bytes>> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "");
-    let seconds = after.unwrap_or(Duration::from_secs(1)).as_secs_f64();
+    let seconds = retry_after.unwrap_or(Duration::from_secs(1)).as_secs_f64();
     if let Ok(value) = HeaderValue::from_str(&format!("{seconds:.3}")) {
         response.headers_mut().insert(RETRY_AFTER, value);
     }
