--- a/src/bin/sender/body_channel.rs
+++ b/src/bin/sender/body_channel.rs
@@ -1,60 +1,69 @@
-//! A body's bytes on their way from the loop to a thread that reads them, with bounded memory between the two.
+//! A bounded channel that passes the bytes of an HTTP body from the event loop to a thread that reads them.
 use bytes::{Buf, Bytes};
 use std::io::{self, Read};
 use tokio::sync::mpsc;
 
-/// Bytes of one chunk, and chunks that wait for the reader, at most.
-const CHUNK: usize = 64 << 10;
-const WAITING: usize = 4;
+/// Maximum size of one chunk.
+const CHUNK_BYTES: usize = 64 << 10;
+/// Maximum number of chunks in the channel.
+const MAX_QUEUED_CHUNKS: usize = 4;
 
 enum Part {
     Bytes(Bytes),
-    /// The body came whole.
+    /// All of the body has been sent.
     End,
 }
 
-/// The loop's end: waits while the reader is behind.
+/// The sending half, for the event loop. It waits while the channel is full.
 pub struct BodyWriter(mpsc::Sender<Part>);
 
-/// The thread's end. A writer that goes away before it said that the body is whole is an error, never an end of file.
+/// The receiving half, for the reading thread. If the writer is dropped before [`BodyWriter::end`], reading
+/// fails: a truncated body never looks like an end of file.
 pub struct BodyReader {
     parts: mpsc::Receiver<Part>,
     chunk: Bytes,
     ended: bool,
 }
 
-/// The reader wants no more.
+/// The reader has been dropped.
 #[derive(Debug, PartialEq, Eq)]
-pub struct ReaderGone;
+pub struct ReaderDropped;
 
+/// Creates a channel for one body.
 pub fn body_channel() -> (BodyWriter, BodyReader) {
-    let (writer, parts) = mpsc::channel(WAITING);
+    let (writer, parts) = mpsc::channel(MAX_QUEUED_CHUNKS);
     (BodyWriter(writer), BodyReader { parts, chunk: Bytes::new(), ended: false })
 }
 
 impl BodyWriter {
-    pub async fn write(&self, mut bytes: Bytes) -> Result<(), ReaderGone> {
+    /// Sends bytes of the body.
+    pub async fn write(&self, mut bytes: Bytes) -> Result<(), ReaderDropped> {
         while !bytes.is_empty() {
-            let chunk = bytes.split_to(bytes.len().min(CHUNK));
-            self.0.send(Part::Bytes(chunk)).await.map_err(|_| ReaderGone)?;
+            let chunk = bytes.split_to(bytes.len().min(CHUNK_BYTES));
+            self.0.send(Part::Bytes(chunk)).await.map_err(|_| ReaderDropped)?;
         }
         Ok(())
     }
 
-    /// Says that all of the body was written.
-    pub async fn end(self) -> Result<(), ReaderGone> {
-        self.0.send(Part::End).await.map_err(|_| ReaderGone)
+    /// Marks the body as complete.
+    pub async fn end(self) -> Result<(), ReaderDropped> {
+        self.0.send(Part::End).await.map_err(|_| ReaderDropped)
     }
 }
 
 impl BodyReader {
-    /// Waits for the next chunk where the last one is used up.
+    /// Waits for the next chunk once the current one has been read.
     fn fill(&mut self) -> io::Result<()> {
         while self.chunk.is_empty() && !self.ended {
             match self.parts.blocking_recv() {
                 Some(Part::Bytes(chunk)) => self.chunk = chunk,
                 Some(Part::End) => self.ended = true,
-                None => return Err(io::Error::new(io::ErrorKind::ConnectionAborted, "the body broke off")),
+                None => {
+                    return Err(io::Error::new(
+                        io::ErrorKind::ConnectionAborted,
+                        "the body ended before it was complete",
+                    ))
+                }
             }
         }
         Ok(())
--- a/src/bin/sender/body_channel/tests.rs
+++ b/src/bin/sender/body_channel/tests.rs
@@ -1,14 +1,14 @@
-//! What a reader on another thread makes of a body that comes whole, and of one that does not.
+//! Tests of reading complete and truncated bodies on another thread.
 use super::*;
 use std::future::Future;
 use std::thread;
 use std::time::Duration;
 
-fn on_one_thread<T>(test: impl Future<Output = T>) -> T {
+fn block_on<T>(test: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(test)
 }
 
-fn read_all(mut reader: BodyReader) -> thread::JoinHandle<io::Result<Vec<u8>>> {
+fn spawn_reader(mut reader: BodyReader) -> thread::JoinHandle<io::Result<Vec<u8>>> {
     thread::spawn(move || {
         let mut bytes = Vec::new();
         reader.read_to_end(&mut bytes).map(|_| bytes)
@@ -16,13 +16,13 @@
 }
 
 #[test]
-fn a_whole_body_is_read_as_it_was_written() {
-    let body: Vec<u8> = (0..CHUNK * 10 + 7).map(|i| (i * 7 % 251) as u8).collect();
+fn reads_complete_body() {
+    let body: Vec<u8> = (0..CHUNK_BYTES * 10 + 7).map(|i| (i * 7 % 251) as u8).collect();
     let (writer, reader) = body_channel();
-    let read = read_all(reader);
-    on_one_thread(async {
-        // In pieces below and above the size of a chunk.
-        for piece in body.chunks(CHUNK + CHUNK / 3) {
+    let read = spawn_reader(reader);
+    block_on(async {
+        // Each piece is larger than a chunk, except for the last one.
+        for piece in body.chunks(CHUNK_BYTES + CHUNK_BYTES / 3) {
             writer.write(Bytes::copy_from_slice(piece)).await.unwrap();
         }
         writer.end().await.unwrap();
@@ -31,35 +31,35 @@
 }
 
 #[test]
-fn a_body_that_breaks_off_is_an_error_and_no_end_of_file() {
+fn reports_truncated_body_as_error() {
     let (writer, reader) = body_channel();
-    let read = read_all(reader);
-    on_one_thread(async { writer.write(Bytes::from_static(b"[1,2]")).await.unwrap() });
+    let read = spawn_reader(reader);
+    block_on(async { writer.write(Bytes::from_static(b"[1,2]")).await.unwrap() });
     drop(writer);
     assert_eq!(read.join().unwrap().unwrap_err().kind(), io::ErrorKind::ConnectionAborted);
 }
 
 #[test]
-fn the_writer_waits_for_a_reader_that_is_behind() {
+fn writer_waits_for_slow_reader() {
     let (writer, mut reader) = body_channel();
-    on_one_thread(async {
-        for _ in 0..WAITING {
+    block_on(async {
+        for _ in 0..MAX_QUEUED_CHUNKS {
             writer.write(Bytes::from_static(b"x")).await.unwrap();
         }
-        let late = writer.write(Bytes::from_static(b"y"));
-        assert!(tokio::time::timeout(Duration::from_millis(20), late).await.is_err());
+        let blocked = writer.write(Bytes::from_static(b"y"));
+        assert!(tokio::time::timeout(Duration::from_millis(20), blocked).await.is_err());
     });
     let mut buffer = [0; 8];
     assert_eq!(reader.read(&mut buffer).unwrap(), 1);
-    on_one_thread(async { writer.write(Bytes::from_static(b"y")).await.unwrap() });
+    block_on(async { writer.write(Bytes::from_static(b"y")).await.unwrap() });
 }
 
 #[test]
-fn a_writer_hears_that_the_reader_wants_no_more() {
+fn writer_fails_after_reader_is_dropped() {
     let (writer, reader) = body_channel();
     drop(reader);
-    on_one_thread(async {
-        assert_eq!(writer.write(Bytes::from_static(b"x")).await, Err(ReaderGone));
-        assert_eq!(writer.end().await, Err(ReaderGone));
+    block_on(async {
+        assert_eq!(writer.write(Bytes::from_static(b"x")).await, Err(ReaderDropped));
+        assert_eq!(writer.end().await, Err(ReaderDropped));
     });
 }
--- a/src/bin/sender/client.rs
+++ b/src/bin/sender/client.rs
@@ -1,8 +1,9 @@
-//! Calls to endpoints: what is checked as a call is written, and how it ended.
+//! The HTTP client for calls to endpoints: checks each message just before its call is written and reports
+//! how each attempt ended.
 mod outcome;
 mod pool;
 
-use crate::connection::{request, Connection, Fault, TAIL};
+use crate::connection::{request, Connection, ExchangeError, ANSWER_TAIL_TIMEOUT};
 use crate::directory::{Directory, Place, Route};
 use crate::input::Input;
 use crate::process_state::{Cancel, Keeps};
@@ -11,8 +12,8 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::CONNECTION;
 use hyper::Request;
+use outcome::{attempt_ends, load_report, outcome_of_status, retry_after, Answer};
 pub use outcome::{end, end_of};
-use outcome::{load_report, outcome, read_ends, wait_told, Answer};
 use pool::Pool;
 use sender::api::{AttemptEnd, EndpointId, LimitReport, Ns, Outcome, MS};
 use sender::records::Taken;
@@ -26,164 +27,178 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Bodies hold at most so much, in either direction.
+/// Maximum size of a body, of a request or of an answer.
 pub const MAX_BODY: usize = 64 << 10;
-/// A call on a kept connection that breaks within this time of its write met an end that had closed already:
-/// the reset takes a round trip, an answer takes the call's work as well.
-const RESET: Duration = Duration::from_millis(20);
+/// A call that fails within this time on a reused connection is taken as a sign that the endpoint had closed
+/// the idle connection: a reset takes one round trip, while an answer takes the work of the call as well.
+const STALE_RESET_TIME: Duration = Duration::from_millis(20);
 
 /// A message's part in a call.
 pub struct Member {
+    /// The number of the attempt.
     pub attempt: u32,
     pub taken: Rc<Taken>,
-    /// When its time is up.
+    /// The message's deadline.
     pub end: Instant,
     /// When this attempt is given up; not after `end`.
     pub limit: Instant,
-    /// Its first byte must be written before this.
+    /// The time before which its first byte must be written.
     pub by: Instant,
 }
 
+/// Makes calls and probes to endpoints, and keeps idle connections to them.
 pub struct Client {
     core: mpsc::Sender<Input>,
     directory: Rc<Directory>,
-    dial: Duration,
+    connect_timeout: Duration,
     pool: Pool,
-    /// Another process decides now: nothing more is begun.
-    frozen: Cell<bool>,
-    /// Taken out by operators; also such as are not listed any more.
-    out: RefCell<HashSet<EndpointId>>,
-    waits: RefCell<HashMap<Route, Instant>>,
+    /// Set once another process has taken over: no new calls are made.
+    stopped: Cell<bool>,
+    /// Endpoints that operators have taken out for maintenance, whether or not they are still listed.
+    in_maintenance: RefCell<HashSet<EndpointId>>,
+    /// Until when each route is not called, by the `Retry-After` of its answers.
+    blocked_until: RefCell<HashMap<Route, Instant>>,
 }
 
 impl Client {
+    /// Creates a client with a timeout for connecting, the time after which endpoints close idle connections,
+    /// and a limit of open connections.
     pub fn new(
         core: mpsc::Sender<Input>,
         directory: Rc<Directory>,
-        dial: Ns,
-        idle: Ns,
-        most: usize,
+        connect_timeout: Ns,
+        idle_close: Ns,
+        max_open: usize,
     ) -> Client {
-        // Closed well before the endpoint would: what is written to a connection that it has closed is a reset.
-        let idle = Duration::from_nanos((idle.max(0) as f64 * 0.9) as u64);
+        // Idle connections are closed well before the endpoint does so: a request that is written to a
+        // connection which the endpoint has closed is answered by a reset.
+        let max_idle = Duration::from_nanos((idle_close.max(0) as f64 * 0.9) as u64);
         Client {
             core,
             directory,
-            dial: Duration::from_nanos(dial.max(MS) as u64),
-            pool: Pool::new(idle, most),
-            frozen: Cell::default(),
-            out: RefCell::default(),
-            waits: RefCell::default(),
+            connect_timeout: Duration::from_nanos(connect_timeout.max(MS) as u64),
+            pool: Pool::new(max_idle, max_open),
+            stopped: Cell::default(),
+            in_maintenance: RefCell::default(),
+            blocked_until: RefCell::default(),
         }
     }
 
-    /// Follows the list: closes idle connections to what it no longer names as ready, or names elsewhere.
+    /// Closes idle connections to endpoints that are no longer listed as ready, or are listed at another
+    /// address.
     pub fn follow_list(&self) {
-        self.pool.follow(|endpoint| Some(self.directory.ready_place(endpoint)?.address));
+        self.pool.close_outdated(|endpoint| Some(self.directory.ready_place(endpoint)?.address));
     }
 
-    /// Follows the operators: what is out gets nothing more either, and what it kept of us is not used again,
-    /// as it will have been restarted.
+    /// Takes an endpoint out for maintenance (`out`) or puts it back. Either way its idle connections are
+    /// closed, as the endpoint is likely to be restarted.
     pub fn take_out(&self, endpoint: EndpointId, out: bool) {
         if out {
-            self.out.borrow_mut().insert(endpoint);
+            self.in_maintenance.borrow_mut().insert(endpoint);
         } else {
-            self.out.borrow_mut().remove(&endpoint);
+            self.in_maintenance.borrow_mut().remove(&endpoint);
         }
         self.close_idle(endpoint);
     }
 
-    /// Where it may be called, if it may.
-    fn place(&self, endpoint: EndpointId) -> Option<Place> {
-        let may = !self.frozen.get() && !self.out.borrow().contains(&endpoint);
-        self.directory.ready_place(endpoint).filter(|_| may)
+    /// Returns the address and route of an endpoint if it may be called.
+    fn callable_place(&self, endpoint: EndpointId) -> Option<Place> {
+        let callable = !self.stopped.get() && !self.in_maintenance.borrow().contains(&endpoint);
+        self.directory.ready_place(endpoint).filter(|_| callable)
     }
 
-    /// What the next process needs to know of connections. Nothing more is begun from now on: what is being connected
-    /// ends as not sent, idle connections are closed, and calls out go on.
+    /// Stops making new calls and returns the learned idle bounds for the next process. Calls that are still
+    /// connecting end as not sent, idle connections are closed, and calls that have been written go on.
     pub fn freeze(&self) -> Keeps {
-        self.frozen.set(true);
-        self.pool.freeze()
+        self.stopped.set(true);
+        self.pool.close_all()
     }
 
+    /// Restores the idle bounds that the previous process had learned.
     pub fn thaw(&self, keeps: Keeps) {
-        self.pool.thaw(keeps);
+        self.pool.restore_idle_bounds(keeps);
     }
 
+    /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, endpoint: EndpointId) {
         self.pool.close(endpoint);
     }
 
-    /// Looks after idle connections, and forgets waits that are over.
+    /// Regularly closes expired idle connections and removes expired waits. Never returns.
     pub async fn keep_pool(self: Rc<Self>) {
         let mut every = tokio::time::interval(Duration::from_millis(100));
         loop {
             every.tick().await;
-            self.pool.sweep();
-            self.waits.borrow_mut().retain(|_, until| *until > Instant::now());
+            self.pool.close_expired();
+            self.blocked_until.borrow_mut().retain(|_, until| *until > Instant::now());
         }
     }
 
-    /// Whether any endpoint may be called at all.
+    /// Returns whether any endpoint may be called.
     pub fn has_usable(&self) -> bool {
-        let out = self.out.borrow();
-        let ready_but_out =
-            out.iter().filter(|&&endpoint| self.directory.ready_place(endpoint).is_some()).count();
-        !self.frozen.get() && self.directory.catalogue().ready() > ready_but_out
+        let in_maintenance = self.in_maintenance.borrow();
+        let ready_in_maintenance =
+            in_maintenance.iter().filter(|&&endpoint| self.directory.ready_place(endpoint).is_some()).count();
+        !self.stopped.get() && self.directory.catalogue().ready() > ready_in_maintenance
     }
 
-    /// Where a connection that was made to an endpoint may be written to now, if it still leads there.
-    fn writable_place(&self, endpoint: EndpointId, link: &Connection) -> Option<Place> {
-        let place = self.place(endpoint).filter(|place| place.address == link.to())?;
-        let waits = self.waits.borrow();
-        waits.get(&place.route).is_none_or(|&until| until <= Instant::now()).then_some(place)
+    /// Returns the address and route of an endpoint if a request may be written now on a connection that was
+    /// made to it: the endpoint may be called, is still at that address, and its route is not blocked.
+    fn writable_place(&self, endpoint: EndpointId, connection: &Connection) -> Option<Place> {
+        let place = self.callable_place(endpoint).filter(|place| place.address == connection.address())?;
+        let blocked = self.blocked_until.borrow();
+        blocked.get(&place.route).is_none_or(|&until| until <= Instant::now()).then_some(place)
     }
 
-    fn heed_wait(&self, route: Route, wait: Duration) {
+    /// Blocks a route for a time that an answer asked for, unless it is blocked for longer already.
+    fn block_route(&self, route: Route, wait: Duration) {
         let until = Instant::now() + wait;
-        let mut waits = self.waits.borrow_mut();
-        let held = waits.entry(route).or_insert(until);
-        *held = until.max(*held);
+        let mut blocked = self.blocked_until.borrow_mut();
+        let current = blocked.entry(route).or_insert(until);
+        *current = until.max(*current);
     }
 
+    /// Takes an idle connection from the pool, or opens a new one.
     async fn connect(&self, endpoint: EndpointId) -> Result<Connection, Outcome> {
-        if let Some(link) = self.pool.take(endpoint) {
-            return Ok(link);
+        if let Some(connection) = self.pool.take(endpoint) {
+            return Ok(connection);
         }
-        let place = self.place(endpoint).filter(|_| self.pool.make_place());
+        let place = self.callable_place(endpoint).filter(|_| self.pool.make_room());
         let Some(Place { address, .. }) = place else { return Err(Outcome::NotSent) };
-        let counted = self.pool.count();
-        match Connection::open(address, self.dial).await {
-            Ok(mut link) => {
-                link.count(counted);
-                Ok(link)
+        let permit = self.pool.permit();
+        match Connection::open(address, self.connect_timeout).await {
+            Ok(mut connection) => {
+                connection.hold_permit(permit);
+                Ok(connection)
             }
             Err(error) => {
-                tracing::debug!(%address, %error, "no connection");
+                tracing::debug!(%address, %error, "cannot connect to the endpoint");
                 Err(Outcome::NoConnection)
             }
         }
     }
 
-    /// Keeps a connection whose answer has been read to its end.
-    async fn give_back(&self, endpoint: EndpointId, mut link: Connection) {
-        if !link.settle().await {
+    /// Puts a connection into the pool once its answer has been read to the end.
+    async fn return_to_pool(&self, endpoint: EndpointId, mut connection: Connection) {
+        if !connection.wait_until_ready().await {
             return;
         }
-        if self.place(endpoint).is_some_and(|place| place.address == link.to()) {
-            self.pool.put(endpoint, link);
+        if self.callable_place(endpoint).is_some_and(|place| place.address == connection.address()) {
+            self.pool.put(endpoint, connection);
         }
     }
 
-    /// Carries out one call of the module and tells how each of its messages ended.
+    /// Carries out one call of the decision module and reports how each of its attempts ended.
     pub async fn call(self: Rc<Self>, endpoint: EndpointId, members: Vec<Member>, cancel: Rc<Cancel>) {
         let started = Instant::now();
-        // What the module puts into one call may be too much for one body; the parts go one by one.
-        for part in parts(members) {
-            self.exchange(endpoint, part, &cancel, started).await;
+        // The messages of one call may exceed the limit of a body; then they are sent in several requests in
+        // turn.
+        for batch in split_by_body_size(members) {
+            self.exchange(endpoint, batch, &cancel, started).await;
         }
     }
 
+    /// Sends one request, reads its answer and reports how each attempt ended.
     async fn exchange(
         &self,
         endpoint: EndpointId,
@@ -191,36 +206,38 @@
         cancel: &Cancel,
         started: Instant,
     ) {
-        let tell = |outcome| move |m: &Member| end(m, endpoint, outcome, started);
-        // A message that could go again is not left out on an open connection, or its next attempt would be a
-        // second copy: then the call is closed for all. One whose time is up leaves alone.
-        let again = members.iter().filter(|m| m.limit < m.end).map(|m| m.limit).min();
-        let close_at = again.or(members.iter().map(|m| m.end).max()).unwrap_or(started);
-        let (link, answer) = loop {
-            let found = tokio::select! {
+        let ended_as = |outcome| move |m: &Member| end(m, endpoint, outcome, started);
+        // An attempt whose message could be tried again must not stay open after its limit, as the next
+        // attempt would be a second copy: the call is closed for all its messages at the earliest such limit.
+        // A message that has reached its deadline leaves the call alone.
+        let retry_limit = members.iter().filter(|m| m.limit < m.end).map(|m| m.limit).min();
+        let close_at = retry_limit.or(members.iter().map(|m| m.end).max()).unwrap_or(started);
+        let (connection, answer) = loop {
+            let connected = tokio::select! {
                 biased;
                 () = cancel.wait() => Err(Outcome::NotSent),
-                link = self.connect(endpoint) => link,
+                connected = self.connect(endpoint) => connected,
                 () = sleep_until(close_at) => Err(Outcome::NoConnection),
             };
-            let mut link = match found {
-                Ok(link) => link,
-                Err(outcome) => return self.report(members.iter().map(tell(outcome)).collect()).await,
+            let mut connection = match connected {
+                Ok(connection) => connection,
+                Err(outcome) => return self.report(members.iter().map(ended_as(outcome)).collect()).await,
             };
-            // A drain, a wait or the end of a window may have come while the connection was being made.
+            // While the connection was being made, the endpoint may have begun to drain, its route may have
+            // been blocked, or a message's time to be sent may have passed.
             let now = Instant::now();
-            let place = self.writable_place(endpoint, &link);
-            let (go, stay): (Vec<_>, Vec<_>) =
+            let place = self.writable_place(endpoint, &connection);
+            let (sendable, not_sent): (Vec<_>, Vec<_>) =
                 members.into_iter().partition(|m| place.is_some() && now < m.by && now < m.end.min(close_at));
-            members = go;
-            self.report(stay.iter().map(tell(Outcome::NotSent)).collect()).await;
+            members = sendable;
+            self.report(not_sent.iter().map(ended_as(Outcome::NotSent)).collect()).await;
             let Some(place) = place.filter(|_| !members.is_empty()) else {
-                return self.give_back(endpoint, link).await;
+                return self.return_to_pool(endpoint, connection).await;
             };
-            let request = build(&members, place.address, close_at - now);
-            let several = members.len() > 1;
+            let request = build_request(&members, place.address, close_at - now);
+            let is_batch = members.len() > 1;
             let answer = {
-                let mut answer = pin!(self.answer(&mut link, request, place.route, several));
+                let mut answer = pin!(self.await_answer(&mut connection, request, place.route, is_batch));
                 loop {
                     let next = members.iter().map(|m| m.end).min().unwrap_or(close_at).min(close_at);
                     tokio::select! {
@@ -230,151 +247,164 @@
                         () = sleep_until(next) => {}
                     }
                     let now = Instant::now();
-                    let (late, rest): (Vec<_>, Vec<_>) =
+                    let (late, on_time): (Vec<_>, Vec<_>) =
                         members.into_iter().partition(|m| now >= m.end || now >= close_at);
-                    members = rest;
+                    members = on_time;
                     if members.is_empty() {
                         break Err((late, Outcome::NoAnswer));
                     }
-                    self.report(late.iter().map(tell(Outcome::NoAnswer)).collect()).await;
+                    self.report(late.iter().map(ended_as(Outcome::NoAnswer)).collect()).await;
                 }
             };
             let answer = match answer {
                 Ok(answer) => answer,
-                Err((left, outcome)) => {
-                    let outcome = if !several && link.says_200() { Outcome::Served } else { outcome };
-                    // Closed before it is told: the next attempt of a message that is still out on an open
-                    // connection would be a second copy, and the call would still hold its slot.
-                    link.close().await;
-                    return self.report(left.iter().map(tell(outcome)).collect()).await;
+                Err((unanswered, outcome)) => {
+                    let outcome =
+                        if !is_batch && connection.received_200() { Outcome::Served } else { outcome };
+                    // The connection is closed before the end is reported: while it is open, the next attempt
+                    // of a message would be a second copy, and the call would still hold its slot at the
+                    // endpoint.
+                    connection.close().await;
+                    return self.report(unanswered.iter().map(ended_as(outcome)).collect()).await;
                 }
             };
             match answer {
-                // The pooled connection had ended: nothing was written, so another one may carry it.
-                Err(Fault::Unsent) => {
-                    self.pool.ended_idle(endpoint, link.stood().unwrap_or_default());
-                    drop(link);
+                // The pooled connection had been closed and nothing was written, so the request goes to
+                // another one.
+                Err(ExchangeError::Unsent) => {
+                    self.pool.record_idle_close(endpoint, connection.idle_before_use().unwrap_or_default());
+                    drop(connection);
                 }
-                Err(fault) => {
-                    let (stood, after) = (link.stood(), now.elapsed());
-                    tracing::debug!(%fault, endpoint, ?stood, ?after, "no answer");
-                    if let Some(stood) = stood.filter(|_| after < RESET) {
-                        self.pool.ended_idle(endpoint, stood);
+                Err(error) => {
+                    let (idle, elapsed) = (connection.idle_before_use(), now.elapsed());
+                    tracing::debug!(%error, endpoint, ?idle, ?elapsed, "a call got no answer");
+                    if let Some(idle) = idle.filter(|_| elapsed < STALE_RESET_TIME) {
+                        self.pool.record_idle_close(endpoint, idle);
                     }
-                    // What can't be read may have run, but its first line is true for the one message of a call.
-                    let delivered = !several && link.says_200();
-                    link.close().await;
-                    let outcome = match fault {
-                        Fault::Broken(_) if delivered => Outcome::Served,
-                        Fault::Broken(_) => Outcome::ConnectionLost,
+                    // A call whose answer can't be parsed may have run. A status line of 200 proves it for a
+                    // call with one message.
+                    let delivered = !is_batch && connection.received_200();
+                    connection.close().await;
+                    let outcome = match error {
+                        ExchangeError::Broken(_) if delivered => Outcome::Served,
+                        ExchangeError::Broken(_) => Outcome::ConnectionLost,
                         _ => Outcome::NoConnection,
                     };
-                    return self.report(members.iter().map(tell(outcome)).collect()).await;
+                    return self.report(members.iter().map(ended_as(outcome)).collect()).await;
                 }
-                Ok(answer) => break (link, answer),
+                Ok(answer) => break (connection, answer),
             }
         };
-        let mut ends = read_ends(&members, &answer, endpoint, started);
+        let mut ends = attempt_ends(&members, &answer, endpoint, started);
         let closes =
             answer.headers.get(CONNECTION).is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
-        // Refused and closed as its first call came: it was the connection that had no place there.
-        if answer.status == 503 && closes && !link.is_kept() {
+        // A 503 that closes a new connection at its first call refuses the connection and not the message:
+        // the endpoint has reached its limit of connections.
+        if answer.status == 503 && closes && !connection.is_reused() {
             ends.iter_mut().for_each(|e| e.outcome = Outcome::Crowded);
         }
         if answer.status != 200 {
-            let (status, new) = (answer.status, !link.is_kept());
-            tracing::debug!(endpoint, status, closes, new, headers = ?answer.headers, "refused");
+            let (status, new) = (answer.status, !connection.is_reused());
+            tracing::debug!(endpoint, status, closes, new, headers = ?answer.headers, "a call was refused");
         }
-        let read = match answer.rest {
-            Some(rest) => {
-                let rest = timeout(TAIL, Limited::new(rest, MAX_BODY).collect()).await;
-                matches!(rest, Ok(Ok(_)))
+        let read_to_end = match answer.unread_body {
+            Some(body) => {
+                let body = timeout(ANSWER_TAIL_TIMEOUT, Limited::new(body, MAX_BODY).collect()).await;
+                matches!(body, Ok(Ok(_)))
             }
             None => true,
         };
-        if read && !closes {
-            self.give_back(endpoint, link).await;
+        if read_to_end && !closes {
+            self.return_to_pool(endpoint, connection).await;
         } else {
-            link.close().await;
+            connection.close().await;
         }
         self.report(ends).await;
     }
 
-    async fn answer(
+    /// Sends a request and reads its answer: the whole answer of a batch, else only the headers.
+    async fn await_answer(
         &self,
-        link: &mut Connection,
+        connection: &mut Connection,
         request: Request<Full<Bytes>>,
         route: Route,
-        several: bool,
-    ) -> Result<Answer, Fault> {
-        let (head, body) = link.send(request).await?.into_parts();
-        // At once: calls to other endpoints of the destination may be about to be written.
-        if let Some(wait) = wait_told(&head.headers) {
-            self.heed_wait(route, wait);
+        is_batch: bool,
+    ) -> Result<Answer, ExchangeError> {
+        let (head, body) = connection.send(request).await?.into_parts();
+        // The route is blocked before the body is read, as calls to other endpoints of the destination may be
+        // about to be written.
+        if let Some(wait) = retry_after(&head.headers) {
+            self.block_route(route, wait);
         }
         let (status, headers) = (head.status.as_u16(), head.headers);
-        if status == 200 && several {
-            let whole = Limited::new(body, 4 * MAX_BODY).collect().await;
-            let whole = whole.map_err(|e| Fault::Broken(format!("the answer broke off: {e}")))?;
-            return Ok(Answer { status, headers, ends: Some(whole.to_bytes()), rest: None });
+        if status == 200 && is_batch {
+            let body = Limited::new(body, 4 * MAX_BODY).collect().await;
+            let body =
+                body.map_err(|e| ExchangeError::Broken(format!("cannot read the answer of a batch: {e}")))?;
+            return Ok(Answer { status, headers, batch_body: Some(body.to_bytes()), unread_body: None });
         }
-        Ok(Answer { status, headers, ends: None, rest: Some(body) })
+        Ok(Answer { status, headers, batch_body: None, unread_body: Some(body) })
     }
 
+    /// Tells the core how attempts ended.
     async fn report(&self, ends: Vec<AttemptEnd>) {
         if !ends.is_empty() {
             let _ = self.core.send(Input::Ended(ends)).await;
         }
     }
 
+    /// Requests an endpoint's `/healthz` and tells the core how that ended.
     pub async fn probe(self: Rc<Self>, endpoint: EndpointId) {
-        let Ok(mut link) = self.connect(endpoint).await else {
-            return self.probed(endpoint, Outcome::NoConnection, None).await;
+        let Ok(mut connection) = self.connect(endpoint).await else {
+            return self.report_probe(endpoint, Outcome::NoConnection, None).await;
         };
-        let Some(Place { address, .. }) = self.writable_place(endpoint, &link) else {
-            return self.probed(endpoint, Outcome::NotSent, None).await;
+        let Some(Place { address, .. }) = self.writable_place(endpoint, &connection) else {
+            return self.report_probe(endpoint, Outcome::NotSent, None).await;
         };
-        let asked = link.exchange(request("GET", "/healthz", address, &[], Bytes::new()), MAX_BODY);
-        let (outcome, report) = match timeout(self.dial, asked).await {
+        let exchange = connection.exchange(request("GET", "/healthz", address, &[], Bytes::new()), MAX_BODY);
+        let (outcome, report) = match timeout(self.connect_timeout, exchange).await {
             Ok(Ok((status, headers, _))) => {
-                let (outcome, ..) = outcome(status, &headers);
-                self.give_back(endpoint, link).await;
+                let (outcome, ..) = outcome_of_status(status, &headers);
+                self.return_to_pool(endpoint, connection).await;
                 (outcome, load_report(&headers))
             }
-            Ok(Err(Fault::Broken(_))) => (Outcome::ConnectionLost, None),
+            Ok(Err(ExchangeError::Broken(_))) => (Outcome::ConnectionLost, None),
             Ok(Err(_)) => (Outcome::NoConnection, None),
             Err(_) => (Outcome::NoAnswer, None),
         };
-        self.probed(endpoint, outcome, report).await;
+        self.report_probe(endpoint, outcome, report).await;
     }
 
-    async fn probed(&self, endpoint: EndpointId, outcome: Outcome, report: Option<LimitReport>) {
+    async fn report_probe(&self, endpoint: EndpointId, outcome: Outcome, report: Option<LimitReport>) {
         let _ = self.core.send(Input::Probed { endpoint, outcome, report }).await;
     }
 }
 
-fn parts(members: Vec<Member>) -> Vec<Vec<Member>> {
-    let mut parts: Vec<Vec<Member>> = Vec::new();
+/// Splits the messages of a call so that the body of each request stays under `MAX_BODY`.
+fn split_by_body_size(members: Vec<Member>) -> Vec<Vec<Member>> {
+    let mut batches: Vec<Vec<Member>> = Vec::new();
     let mut size = 0;
     for member in members {
         let t = &member.taken;
         let texts = t.trace.len() + t.key.as_ref().map_or(0, String::len);
-        let own = t.body.len().div_ceil(3) * 4 + 2 * texts + 40;
-        match parts.last_mut().filter(|_| size + own < MAX_BODY) {
-            Some(part) => part.push(member),
+        // The length in base64, and an upper bound for the rest of the JSON object with its texts escaped.
+        let entry_size = t.body.len().div_ceil(3) * 4 + 2 * texts + 40;
+        match batches.last_mut().filter(|_| size + entry_size < MAX_BODY) {
+            Some(batch) => batch.push(member),
             None => {
-                parts.push(vec![member]);
+                batches.push(vec![member]);
                 size = 2;
             }
         }
-        size += own;
+        size += entry_size;
     }
-    parts
+    batches
 }
 
-fn build(members: &[Member], to: SocketAddr, wait: Duration) -> Request<Full<Bytes>> {
-    let wait = wait.as_millis().max(1).to_string();
-    let mut headers = vec![("x-expires-in-ms", wait.as_str())];
+/// Builds the request of a call: the message's own body for one message, a JSON list for several.
+fn build_request(members: &[Member], to: SocketAddr, time_left: Duration) -> Request<Full<Bytes>> {
+    let time_left = time_left.as_millis().max(1).to_string();
+    let mut headers = vec![("x-expires-in-ms", time_left.as_str())];
     let [only] = members else {
         let list: Vec<Value> = members
             .iter()
--- a/src/bin/sender/client/outcome.rs
+++ b/src/bin/sender/client/outcome.rs
@@ -1,4 +1,4 @@
-//! What an answer of an endpoint means for the messages of its call.
+//! Interprets an endpoint's answer: the outcome of each message of the call, and the endpoint's load report.
 use super::Member;
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -9,27 +9,31 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What an answer said.
+/// The answer to a call.
 pub struct Answer {
     pub status: u16,
     pub headers: HeaderMap,
-    /// Of a call with several messages and 200: the whole answer. Else what is left to read.
-    pub ends: Option<Bytes>,
-    pub rest: Option<Incoming>,
+    /// The whole body, if the call had several messages and the status is 200.
+    pub batch_body: Option<Bytes>,
+    /// The body that is still to be read, in all other cases.
+    pub unread_body: Option<Incoming>,
 }
 
+/// Returns the end of a call member's attempt, from the time at which the call started.
 pub fn end(m: &Member, endpoint: EndpointId, outcome: Outcome, started: Instant) -> AttemptEnd {
     end_of(m.taken.id, m.attempt, endpoint, outcome, started)
 }
 
+/// Returns the end of an attempt that started at the given time, without what only an answer can tell.
 pub fn end_of(id: u64, attempt: u32, endpoint: EndpointId, outcome: Outcome, started: Instant) -> AttemptEnd {
     let done = outcome == Outcome::Served;
     let took = started.elapsed().as_nanos() as Ns;
     AttemptEnd { id, attempt, endpoint, outcome, took, done, retry_after: 0, report: None }
 }
 
-/// The protocol's table: outcome, and whether the message is over. What it does not name may have run.
-pub fn outcome(status: u16, headers: &HeaderMap) -> (Outcome, bool) {
+/// Maps a status to an outcome and whether the message is done, by the table of the protocol. A call with any
+/// other status may have run.
+pub fn outcome_of_status(status: u16, headers: &HeaderMap) -> (Outcome, bool) {
     match status {
         200 => (Outcome::Served, true),
         429 => (Outcome::TurnedAway, false),
@@ -42,25 +46,27 @@
     }
 }
 
-pub fn read_ends(
+/// Returns how the attempt of each message of a call ended, by the call's answer.
+pub fn attempt_ends(
     members: &[Member],
     answer: &Answer,
     endpoint: EndpointId,
     started: Instant,
 ) -> Vec<AttemptEnd> {
-    let wait = wait_told(&answer.headers).map_or(0, |w| w.as_nanos() as Ns);
+    let wait = retry_after(&answer.headers).map_or(0, |w| w.as_nanos() as Ns);
     let report = load_report(&answer.headers);
-    let list: Option<Vec<Value>> =
-        answer.ends.as_ref().map(|b| serde_json::from_slice(b).unwrap_or_default());
+    let entries: Option<Vec<Value>> =
+        answer.batch_body.as_ref().map(|b| serde_json::from_slice(b).unwrap_or_default());
     let text = |v: &Value, key: &str| v.get(key).and_then(Value::as_str).map(str::to_string);
     let states: Option<HashMap<String, String>> =
-        list.map(|l| l.iter().filter_map(|v| Some((text(v, "id")?, text(v, "state")?))).collect());
-    let state = |m: &Member| {
+        entries.map(|l| l.iter().filter_map(|v| Some((text(v, "id")?, text(v, "state")?))).collect());
+    let outcome_of = |m: &Member| {
         let Some(states) = &states else {
-            return match outcome(answer.status, &answer.headers) {
-                // One of several may be what can't be read: the others are not given up for it.
+            return match outcome_of_status(answer.status, &answer.headers) {
+                // Any one message of a batch may be the malformed one; the others are not given up because of
+                // it.
                 (Outcome::Malformed, done) if members.len() > 1 => (Outcome::NotSent, done),
-                end => end,
+                other => other,
             };
         };
         match states.get(&m.taken.trace).map(String::as_str) {
@@ -68,24 +74,24 @@
             Some("busy") => (Outcome::TurnedAway, false),
             Some("void") => (Outcome::NotSent, true),
             Some("used_up") => (Outcome::NotSent, false),
-            // `failed`, or an answer that leaves it out: it may have run.
+            // With `failed`, or where the answer leaves the message out, it may have run.
             _ => (Outcome::ServerError, false),
         }
     };
-    let tell = |m: &Member| {
-        let (outcome, done) = state(m);
+    let attempt_end = |m: &Member| {
+        let (outcome, done) = outcome_of(m);
         AttemptEnd { done, retry_after: wait, report, ..end(m, endpoint, outcome, started) }
     };
-    members.iter().map(tell).collect()
+    members.iter().map(attempt_end).collect()
 }
 
-/// `Retry-After` in seconds, whole or with decimals.
-pub fn wait_told(headers: &HeaderMap) -> Option<Duration> {
+/// Parses `Retry-After` in seconds, with or without decimals; None if it is not between 0 and a day.
+pub fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
     (seconds > 0.0 && seconds < 86_400.0).then(|| Duration::from_secs_f64(seconds))
 }
 
-/// `Endpoint-Load-Metrics: TEXT x0=0.4, x1=25`
+/// Parses a load report of the form `Endpoint-Load-Metrics: TEXT x0=0.4, x1=25`.
 pub fn load_report(headers: &HeaderMap) -> Option<LimitReport> {
     let text = headers.get("endpoint-load-metrics")?.to_str().ok()?;
     let value = |name: &str| {
--- a/src/bin/sender/client/pool.rs
+++ b/src/bin/sender/client/pool.rs
@@ -1,5 +1,6 @@
-//! Idle connections to endpoints: how long each may stand idle, and which makes room where there are too many.
-use crate::connection::{Connection, Counted};
+//! The pool of idle connections to endpoints: bounds how long each may stay idle and how many connections are
+//! open.
+use crate::connection::{Connection, ConnectionPermit};
 use crate::process_state::Keeps;
 use sender::api::EndpointId;
 use std::cell::{Cell, RefCell};
@@ -9,133 +10,150 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A connection that ends sooner than this after an answer did not end for standing idle.
-const LEAST_KEEP: Duration = Duration::from_millis(50);
+/// A connection that was closed after less idle time than this was not closed for being idle; also the lowest
+/// idle bound.
+const MIN_IDLE_BOUND: Duration = Duration::from_millis(50);
 
-/// How long connections to an endpoint may stand idle, as far as it is seen to be less than the settings say.
-struct Keep {
+/// How long connections to an endpoint may stay idle, where that was found to be less than the settings say.
+struct IdleBound {
     bound: Duration,
     since: Instant,
 }
 
+/// The idle connections by endpoint, and the number of all open ones.
 pub struct Pool {
-    /// How long a connection may stand idle at most.
-    idle: Duration,
-    /// Most connections to endpoints at a time, those in use included.
-    most: usize,
+    /// How long a connection may stay idle, unless its endpoint has a lower bound.
+    max_idle: Duration,
+    /// Maximum number of open connections to endpoints, including those in use.
+    max_open: usize,
     open: Rc<Cell<usize>>,
-    links: RefCell<HashMap<EndpointId, Vec<Connection>>>,
-    keeps: RefCell<HashMap<EndpointId, Keep>>,
+    /// Idle connections by endpoint, the one that has been idle longest first.
+    idle_connections: RefCell<HashMap<EndpointId, Vec<Connection>>>,
+    idle_bounds: RefCell<HashMap<EndpointId, IdleBound>>,
 }
 
 impl Pool {
-    pub fn new(idle: Duration, most: usize) -> Pool {
-        Pool { idle, most, open: Rc::default(), links: RefCell::default(), keeps: RefCell::default() }
+    pub fn new(max_idle: Duration, max_open: usize) -> Pool {
+        Pool {
+            max_idle,
+            max_open,
+            open: Rc::default(),
+            idle_connections: RefCell::default(),
+            idle_bounds: RefCell::default(),
+        }
     }
 
-    /// Closes connections that don't lead to where their endpoint is now.
-    pub fn follow(&self, place: impl Fn(EndpointId) -> Option<SocketAddr>) {
-        self.links.borrow_mut().retain(|&endpoint, links| {
-            let place = place(endpoint);
-            links.retain(|link| place == Some(link.to()));
-            !links.is_empty()
+    /// Closes idle connections to an address other than the current one of their endpoint.
+    pub fn close_outdated(&self, current_address: impl Fn(EndpointId) -> Option<SocketAddr>) {
+        self.idle_connections.borrow_mut().retain(|&endpoint, connections| {
+            let current = current_address(endpoint);
+            connections.retain(|connection| current == Some(connection.address()));
+            !connections.is_empty()
         });
     }
 
-    /// Closes all, and tells what was learned of how long connections may stand idle.
-    pub fn freeze(&self) -> Keeps {
-        self.links.borrow_mut().clear();
+    /// Closes all idle connections and returns the learned idle bounds, each with its age.
+    pub fn close_all(&self) -> Keeps {
+        self.idle_connections.borrow_mut().clear();
         let now = Instant::now();
-        let keeps = self.keeps.borrow();
-        keeps.iter().map(|(&endpoint, keep)| (endpoint, keep.bound, now - keep.since)).collect()
+        let idle_bounds = self.idle_bounds.borrow();
+        idle_bounds.iter().map(|(&endpoint, idle)| (endpoint, idle.bound, now - idle.since)).collect()
     }
 
-    pub fn thaw(&self, keeps: Keeps) {
+    /// Restores idle bounds from another process.
+    pub fn restore_idle_bounds(&self, keeps: Keeps) {
         let now = Instant::now();
         for (endpoint, bound, age) in keeps {
             let since = now.checked_sub(age).unwrap_or(now);
-            self.keeps.borrow_mut().insert(endpoint, Keep { bound, since });
+            self.idle_bounds.borrow_mut().insert(endpoint, IdleBound { bound, since });
         }
     }
 
+    /// Closes the idle connections to an endpoint.
     pub fn close(&self, endpoint: EndpointId) {
-        self.links.borrow_mut().remove(&endpoint);
+        self.idle_connections.borrow_mut().remove(&endpoint);
     }
 
-    /// Closes what has stood idle too long or was closed from the other side, and forgets bounds that are over.
-    pub fn sweep(&self) {
+    /// Closes connections that have been idle too long or were closed by the peer, and removes idle bounds
+    /// that have grown back to `max_idle`.
+    pub fn close_expired(&self) {
         let now = Instant::now();
-        self.links.borrow_mut().retain(|&endpoint, links| {
-            links.retain(|l| self.may_reuse(endpoint, l, now));
-            !links.is_empty()
+        self.idle_connections.borrow_mut().retain(|&endpoint, connections| {
+            connections.retain(|c| self.may_reuse(endpoint, c, now));
+            !connections.is_empty()
         });
-        let grown_back = |e: EndpointId| self.keep(e, now) >= self.idle;
-        let over: Vec<_> = self.keeps.borrow().keys().copied().filter(|&e| grown_back(e)).collect();
-        over.iter().for_each(|e| _ = self.keeps.borrow_mut().remove(e));
+        let grown_back = |e: EndpointId| self.idle_bound(e, now) >= self.max_idle;
+        let expired: Vec<_> = self.idle_bounds.borrow().keys().copied().filter(|&e| grown_back(e)).collect();
+        expired.iter().for_each(|e| _ = self.idle_bounds.borrow_mut().remove(e));
     }
 
-    /// Keeps a connection on which nothing is under way.
-    pub fn put(&self, endpoint: EndpointId, mut link: Connection) {
-        link.rest();
-        self.links.borrow_mut().entry(endpoint).or_default().push(link);
+    /// Adds a connection without a request in flight.
+    pub fn put(&self, endpoint: EndpointId, mut connection: Connection) {
+        connection.mark_idle();
+        self.idle_connections.borrow_mut().entry(endpoint).or_default().push(connection);
     }
 
-    /// A place among the open connections, for one that is about to be made: many at once stay under the limit too.
-    pub fn count(&self) -> Counted {
-        Counted::new(&self.open)
+    /// Counts a connection that is about to be opened, so that many being opened at once also stay under the
+    /// limit.
+    pub fn permit(&self) -> ConnectionPermit {
+        ConnectionPermit::new(&self.open)
     }
 
-    /// One that may be used again.
+    /// Takes the connection to an endpoint that was used last and may be reused.
     pub fn take(&self, endpoint: EndpointId) -> Option<Connection> {
         let now = Instant::now();
-        let mut pool = self.links.borrow_mut();
-        let links = pool.get_mut(&endpoint)?;
-        let mut link = std::iter::from_fn(|| links.pop()).find(|l| self.may_reuse(endpoint, l, now))?;
-        link.take_up(now);
-        Some(link)
+        let mut pool = self.idle_connections.borrow_mut();
+        let connections = pool.get_mut(&endpoint)?;
+        let mut connection =
+            std::iter::from_fn(|| connections.pop()).find(|c| self.may_reuse(endpoint, c, now))?;
+        connection.mark_in_use(now);
+        Some(connection)
     }
 
-    fn may_reuse(&self, endpoint: EndpointId, link: &Connection, now: Instant) -> bool {
-        let stood = now - link.idle_since();
-        if !link.is_open() {
-            self.ended_idle(endpoint, stood);
+    fn may_reuse(&self, endpoint: EndpointId, connection: &Connection, now: Instant) -> bool {
+        let idle = now - connection.idle_since();
+        if !connection.is_open() {
+            self.record_idle_close(endpoint, idle);
             return false;
         }
-        stood < self.keep(endpoint, now)
+        idle < self.idle_bound(endpoint, now)
     }
 
-    /// How long a connection there may stand idle. What was seen to be too long is tried again in time: the
-    /// bound doubles with each span in which the settings' figure would have passed without such an end.
-    fn keep(&self, endpoint: EndpointId, now: Instant) -> Duration {
-        let keeps = self.keeps.borrow();
-        let Some(keep) = keeps.get(&endpoint) else { return self.idle };
-        let doublings = (now - keep.since).as_secs_f64() / self.idle.as_secs_f64().max(1e-3);
-        keep.bound.mul_f64(doublings.floor().min(30.0).exp2()).min(self.idle)
+    /// Returns how long a connection to an endpoint may stay idle. A learned bound is raised again over time:
+    /// it doubles with each `max_idle` that passes without another connection closed while idle.
+    fn idle_bound(&self, endpoint: EndpointId, now: Instant) -> Duration {
+        let idle_bounds = self.idle_bounds.borrow();
+        let Some(learned) = idle_bounds.get(&endpoint) else { return self.max_idle };
+        let doublings = (now - learned.since).as_secs_f64() / self.max_idle.as_secs_f64().max(1e-3);
+        learned.bound.mul_f64(doublings.floor().min(30.0).exp2()).min(self.max_idle)
     }
 
-    /// The far side or something between ended a connection that had stood idle so long. The settings' figure
-    /// is only the latest, and a call written after such an end is lost, so the next stand half as long.
-    pub fn ended_idle(&self, endpoint: EndpointId, stood: Duration) {
+    /// Records that the endpoint, or something on the way to it, closed a connection that had been idle for
+    /// the given time. The time in the settings is only an upper bound, and a call that is written after such
+    /// a close is lost, so further connections may stay idle for half as long.
+    pub fn record_idle_close(&self, endpoint: EndpointId, idle: Duration) {
         let now = Instant::now();
-        let known = self.keep(endpoint, now);
-        if stood < LEAST_KEEP {
+        let current = self.idle_bound(endpoint, now);
+        if idle < MIN_IDLE_BOUND {
             return;
         }
-        let bound = (stood / 2).max(LEAST_KEEP).min(known);
-        if bound < known {
-            tracing::debug!(endpoint, ?stood, ?bound, "a kept connection had ended");
+        let bound = (idle / 2).max(MIN_IDLE_BOUND).min(current);
+        if bound < current {
+            tracing::debug!(endpoint, ?idle, ?bound, "an idle connection was closed from outside");
         }
-        self.keeps.borrow_mut().insert(endpoint, Keep { bound, since: now });
+        self.idle_bounds.borrow_mut().insert(endpoint, IdleBound { bound, since: now });
     }
 
-    /// Frees the place of the connection that has stood idle longest.
-    pub fn make_place(&self) -> bool {
-        if self.open.get() < self.most {
+    /// Makes room for one more connection, by closing the one that has been idle longest where the limit is
+    /// reached. Returns false if all open connections are in use.
+    pub fn make_room(&self) -> bool {
+        if self.open.get() < self.max_open {
             return true;
         }
-        let mut pool = self.links.borrow_mut();
-        let oldest = pool.iter().filter_map(|(&e, links)| Some((links.first()?.idle_since(), e))).min();
+        let mut pool = self.idle_connections.borrow_mut();
+        let oldest =
+            pool.iter().filter_map(|(&e, connections)| Some((connections.first()?.idle_since(), e))).min();
         let Some((_, endpoint)) = oldest else { return false };
-        pool.get_mut(&endpoint).map(|links| links.remove(0)).is_some()
+        pool.get_mut(&endpoint).map(|connections| connections.remove(0)).is_some()
     }
 }
--- a/src/bin/sender/connection.rs
+++ b/src/bin/sender/connection.rs
@@ -1,4 +1,5 @@
-//! One HTTP/1.1 connection to another party: what was written on it, and how far its answer has come.
+//! An outgoing HTTP/1.1 connection that knows whether a failed request had been written and what status line
+//! came back.
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -18,42 +19,46 @@
 use tokio::task::JoinHandle;
 use tokio::time::{timeout, Instant};
 
-/// How long the rest of an answer whose outcome is known may take before its connection is given up.
-pub const TAIL: Duration = Duration::from_millis(100);
+/// How long the rest of an answer may take once its outcome is known; after that the connection is closed.
+pub const ANSWER_TAIL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The start of an answer, as far as its first line tells whether it is a 200.
+/// The start of an answer: enough of its status line to tell whether the status is 200.
 #[derive(Default)]
-struct FirstLine {
+struct StatusLine {
     bytes: [u8; 13],
     length: usize,
-    whole: bool,
+    /// Whether the end of the line has been read.
+    complete: bool,
 }
 
-impl FirstLine {
+impl StatusLine {
     fn push(&mut self, read: &[u8]) {
         let length = read.len().min(self.bytes.len() - self.length);
         self.bytes[self.length..][..length].copy_from_slice(&read[..length]);
         self.length += length;
-        self.whole |= read.contains(&b'\n');
+        self.complete |= read.contains(&b'\n');
     }
 
-    /// Only once it has come whole: what breaks off in the middle of it may not have been meant to be a 200, and
-    /// a message that its endpoint has taken loses nothing by a notice.
-    fn says_200(&self) -> bool {
+    /// Returns whether the status is 200. A line that breaks off is never taken for a 200: the status may
+    /// have been meant to be another one, and a notice for a message that was delivered does no harm.
+    fn is_200(&self) -> bool {
         let [version @ .., minor, b' ', b'2', b'0', b'0', next] = &self.bytes else { return false };
-        self.whole && version == b"HTTP/1." && minor.is_ascii_digit() && matches!(next, b' ' | b'\r' | b'\n')
+        self.complete
+            && version == b"HTTP/1."
+            && minor.is_ascii_digit()
+            && matches!(next, b' ' | b'\r' | b'\n')
     }
 }
 
-/// Counts what is written, as the library does not tell whether a failed request had left, and keeps the start
-/// of what is read, as it does not tell either what the first line of an answer said that it can't read.
-struct Written {
+/// A stream that counts the bytes written and keeps the status line read. hyper tells neither whether a
+/// failed request had been written nor the status line of an answer that it can't parse.
+struct ObservedStream {
     stream: TcpStream,
-    written: Rc<Cell<u64>>,
-    first: Rc<RefCell<FirstLine>>,
+    bytes_written: Rc<Cell<u64>>,
+    status_line: Rc<RefCell<StatusLine>>,
 }
 
-impl AsyncRead for Written {
+impl AsyncRead for ObservedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -61,16 +66,16 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let done = Pin::new(&mut self.stream).poll_read(cx, buf);
-        self.first.borrow_mut().push(&buf.filled()[before..]);
+        self.status_line.borrow_mut().push(&buf.filled()[before..]);
         done
     }
 }
 
-impl AsyncWrite for Written {
+impl AsyncWrite for ObservedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let done = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(n)) = done {
-            self.written.set(self.written.get() + n as u64);
+            self.bytes_written.set(self.bytes_written.get() + n as u64);
         }
         done
     }
@@ -83,35 +88,35 @@
 }
 
 /// Why a request got no answer.
-pub enum Fault {
-    /// The connection had ended before: the library hands the request back unwritten.
+pub enum ExchangeError {
+    /// The connection had been closed before: hyper returned the request unsent.
     Unsent,
-    /// Nothing of it was written.
-    NeverRan(String),
-    /// It may have been read.
+    /// The connection failed before any byte of the request was written.
+    NotWritten(String),
+    /// The connection failed after bytes of the request were written, so the peer may have processed it.
     Broken(String),
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for ExchangeError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Fault::Unsent => write!(f, "the connection had ended"),
-            Fault::NeverRan(why) | Fault::Broken(why) => write!(f, "{why}"),
+            ExchangeError::Unsent => write!(f, "the connection was closed before the request was sent"),
+            ExchangeError::NotWritten(reason) | ExchangeError::Broken(reason) => write!(f, "{reason}"),
         }
     }
 }
 
-/// One HTTP/1.1 connection. Dropping it closes the socket at once, whatever is under way.
+/// An HTTP/1.1 connection. Dropping it closes the socket at once, even during an exchange.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
-    written: Rc<Cell<u64>>,
-    first: Rc<RefCell<FirstLine>>,
-    to: SocketAddr,
+    bytes_written: Rc<Cell<u64>>,
+    status_line: Rc<RefCell<StatusLine>>,
+    address: SocketAddr,
     idle_since: Instant,
-    /// How long it had stood idle before the call under way; None on a new connection.
-    stood: Option<Duration>,
-    _counted: Option<Counted>,
+    /// How long it had been idle before the exchange in progress; None on a new connection.
+    idle_before_use: Option<Duration>,
+    _permit: Option<ConnectionPermit>,
 }
 
 impl Drop for Connection {
@@ -121,43 +126,48 @@
 }
 
 impl Connection {
-    pub async fn open(at: SocketAddr, dial: Duration) -> io::Result<Connection> {
-        let stream = timeout(dial, TcpStream::connect(at)).await??;
+    /// Connects to an address, within a timeout.
+    pub async fn open(address: SocketAddr, connect_timeout: Duration) -> io::Result<Connection> {
+        let stream = timeout(connect_timeout, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
-        let written = Rc::new(Cell::new(0));
-        let first = Rc::new(RefCell::default());
-        let io = TokioIo::new(Written { stream, written: written.clone(), first: Rc::clone(&first) });
-        let made = http1::Builder::new().title_case_headers(true).handshake(io).await;
-        let (sender, connection) = made.map_err(io::Error::other)?;
+        let bytes_written = Rc::new(Cell::new(0));
+        let status_line = Rc::new(RefCell::default());
+        let io = TokioIo::new(ObservedStream {
+            stream,
+            bytes_written: bytes_written.clone(),
+            status_line: Rc::clone(&status_line),
+        });
+        let handshake = http1::Builder::new().title_case_headers(true).handshake(io).await;
+        let (sender, connection) = handshake.map_err(io::Error::other)?;
         let task = tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
-                tracing::debug!(%error, "a connection broke");
+                tracing::debug!(%error, "an outgoing connection failed");
             }
         });
         Ok(Connection {
             sender,
             task,
-            written,
-            first,
-            to: at,
+            bytes_written,
+            status_line,
+            address,
             idle_since: Instant::now(),
-            stood: None,
-            _counted: None,
+            idle_before_use: None,
+            _permit: None,
         })
     }
 
-    /// The connection that was kept from the exchange before, if it still stands.
-    pub async fn kept_or_new(
+    /// Takes the connection that was kept after the last exchange if it is still open, or opens a new one.
+    pub async fn reuse_or_open(
         kept: &mut Option<Connection>,
-        at: SocketAddr,
-        dial: Duration,
+        address: SocketAddr,
+        connect_timeout: Duration,
     ) -> io::Result<Connection> {
         match kept.take().filter(Connection::is_open) {
-            Some(mut link) => {
-                link.take_up(Instant::now());
-                Ok(link)
+            Some(mut connection) => {
+                connection.mark_in_use(Instant::now());
+                Ok(connection)
             }
-            None => Connection::open(at, dial).await,
+            None => Connection::open(address, connect_timeout).await,
         }
     }
 
@@ -167,79 +177,85 @@
         let _ = (&mut self.task).await;
     }
 
-    /// It has carried an exchange before the one under way.
-    pub fn is_kept(&self) -> bool {
-        self.stood.is_some()
+    /// Returns whether it has carried an exchange before the one in progress.
+    pub fn is_reused(&self) -> bool {
+        self.idle_before_use.is_some()
     }
 
+    /// Returns whether it is open and ready for a request.
     pub fn is_open(&self) -> bool {
         self.sender.is_ready() && !self.task.is_finished()
     }
 
-    /// Sends a request; the answer's body is still to come.
-    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Fault> {
-        let before = self.written.get();
-        self.first.take();
+    /// Sends a request and waits for the headers of its answer; the body is still to be read.
+    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, ExchangeError> {
+        let written_before = self.bytes_written.get();
+        self.status_line.take();
         self.sender.try_send_request(request).await.map_err(|mut e| match e.take_message() {
-            Some(_) => Fault::Unsent,
-            None if self.written.get() == before => Fault::NeverRan(e.into_error().to_string()),
-            None => Fault::Broken(e.into_error().to_string()),
+            Some(_) => ExchangeError::Unsent,
+            None if self.bytes_written.get() == written_before => {
+                ExchangeError::NotWritten(e.into_error().to_string())
+            }
+            None => ExchangeError::Broken(e.into_error().to_string()),
         })
     }
 
-    /// A whole exchange, for notices and probes.
+    /// Sends a request and reads its whole answer, for notices and probes.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
-        most: usize,
-    ) -> Result<(u16, HeaderMap, Bytes), Fault> {
+        max_body: usize,
+    ) -> Result<(u16, HeaderMap, Bytes), ExchangeError> {
         let (head, body) = self.send(request).await?.into_parts();
-        let body = Limited::new(body, most).collect().await.map_err(|e| Fault::Broken(e.to_string()))?;
-        self.settle().await;
+        let body =
+            Limited::new(body, max_body).collect().await.map_err(|e| ExchangeError::Broken(e.to_string()))?;
+        self.wait_until_ready().await;
         Ok((head.status.as_u16(), head.headers, body.to_bytes()))
     }
 
-    /// Waits a little for the end of an answer whose body was read: else the next request could find the connection
-    /// still busy with it. False where it does not come to rest.
-    pub async fn settle(&mut self) -> bool {
-        matches!(timeout(TAIL, self.sender.ready()).await, Ok(Ok(())))
+    /// Waits for a short time until the connection is done with an answer whose body was read, as the next
+    /// request could otherwise find it busy. Returns false if it does not become ready.
+    pub async fn wait_until_ready(&mut self) -> bool {
+        matches!(timeout(ANSWER_TAIL_TIMEOUT, self.sender.ready()).await, Ok(Ok(())))
     }
 
-    /// Where it was made to.
-    pub fn to(&self) -> SocketAddr {
-        self.to
+    /// Returns the address to which it was opened.
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
-    /// Keeps its place among the open ones for as long as it is.
-    pub fn count(&mut self, counted: Counted) {
-        self._counted = Some(counted);
+    /// Holds a permit until the connection is dropped.
+    pub fn hold_permit(&mut self, permit: ConnectionPermit) {
+        self._permit = Some(permit);
     }
 
-    /// Stands idle from now on.
-    pub fn rest(&mut self) {
+    /// Records that it is idle from now on.
+    pub fn mark_idle(&mut self) {
         self.idle_since = Instant::now();
     }
 
+    /// Returns the time at which it was opened or last marked as idle.
     pub fn idle_since(&self) -> Instant {
         self.idle_since
     }
 
-    /// Is idle no longer.
-    pub fn take_up(&mut self, now: Instant) {
-        self.stood = Some(now - self.idle_since);
+    /// Records that an exchange on the connection begins after it was idle.
+    pub fn mark_in_use(&mut self, now: Instant) {
+        self.idle_before_use = Some(now - self.idle_since);
     }
 
-    /// How long it had stood idle before the call under way; None on a new connection.
-    pub fn stood(&self) -> Option<Duration> {
-        self.stood
+    /// Returns how long it had been idle before the exchange in progress; None on a new connection.
+    pub fn idle_before_use(&self) -> Option<Duration> {
+        self.idle_before_use
     }
 
-    /// Whether the first line of the answer is that of a 200, also where the answer can't be read.
-    pub fn says_200(&self) -> bool {
-        self.first.borrow().says_200()
+    /// Returns whether the answer's status line says 200, even if the rest of the answer can't be parsed.
+    pub fn received_200(&self) -> bool {
+        self.status_line.borrow().is_200()
     }
 }
 
+/// Builds a request with the given headers and a `Host` header.
 pub fn request(
     method: &str,
     path: &str,
@@ -252,7 +268,7 @@
     *request.uri_mut() = path.parse().unwrap_or_default();
     let to = to.to_string();
     for (name, value) in headers.iter().copied().chain([("host", to.as_str())]) {
-        // Values come from headers that were read, so they can be written.
+        // Values of clients come from parsed headers, so they are valid here too.
         if let Ok(value) = HeaderValue::from_bytes(value.as_bytes()) {
             request.headers_mut().insert(HeaderName::from_static(name), value);
         }
@@ -261,17 +277,18 @@
     request
 }
 
-/// One of the connections to endpoints, from before it is made until it is closed.
-pub struct Counted(Rc<Cell<usize>>);
+/// Counts one connection to an endpoint, from before it is opened until it is closed.
+pub struct ConnectionPermit(Rc<Cell<usize>>);
 
-impl Counted {
-    pub fn new(open: &Rc<Cell<usize>>) -> Counted {
+impl ConnectionPermit {
+    /// Adds one to the number of open connections; dropping the permit subtracts it again.
+    pub fn new(open: &Rc<Cell<usize>>) -> ConnectionPermit {
         open.set(open.get() + 1);
-        Counted(open.clone())
+        ConnectionPermit(open.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/src/bin/sender/discovery.rs
+++ b/src/bin/sender/discovery.rs
@@ -1,5 +1,6 @@
-//! The list of endpoints: the whole list once, then a watch that goes out again at once.
-use crate::connection::{self, Connection, Fault};
+//! The client of discovery: fetches the whole list of endpoints once, then its changes by long polls, called
+//! watches.
+use crate::connection::{self, Connection, ExchangeError};
 use crate::input::Input;
 use crate::list_intake::{BodyError, ListIntake};
 use catalogue::intake::{IntakeError, Taken};
@@ -10,155 +11,167 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// How long a watch waits.
-const WAIT: Duration = Duration::from_secs(5);
-/// How long a call that need not wait may take: discovery may take 2 s to turn a caller away.
-const AT_ONCE: Duration = Duration::from_millis(2_500);
-/// How much longer than it waits a watch may take before it counts as silent: the agent is silent while discovery
-/// is down, and a watch begun in that time may never be answered.
-const GRACE: Duration = Duration::from_secs(1);
-/// A watch that fell silent or brought what can't be read is begun anew within this time, drawn by each sender: what
-/// it missed counts as told 2 s after its wait is over, and `GRACE` of them has passed.
-const ANEW: Duration = Duration::from_millis(500);
-/// All senders of a fleet together let about so much time pass from one watch to the next, and, after calls that
-/// failed, from one call to the next as far as `MOST` allows.
+/// How long a watch waits for changes, for a small fleet.
+const WATCH_WAIT: Duration = Duration::from_secs(5);
+/// How long a call that asks for an immediate answer may take: discovery may take 2 s to reject a call.
+const IMMEDIATE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// How much longer than its wait a watch may take before it counts as silent. While discovery is down its
+/// agent does not answer, and a watch that began in that time may never be answered.
+const WATCH_GRACE: Duration = Duration::from_secs(1);
+/// The longest pause after a watch that was silent or brought an unreadable answer. Each sender draws its own
+/// pause. A change that the watch missed must be known 2 s after the end of its wait, of which `WATCH_GRACE`
+/// has passed by then.
+const MAX_WATCH_RESTART_PAUSE: Duration = Duration::from_millis(500);
+/// The mean time between two watches of all senders of a fleet together, and also between two calls after
+/// failures, as far as `MAX_PAUSE` allows.
 const FLEET_PAUSE: Duration = Duration::from_millis(500);
-/// What discovery has counts as told so long after it had it and could be reached, whatever failed before.
-const TOLD: Duration = Duration::from_secs(6);
-/// The longest pause after a call that failed, however many did in a row: the worst moment for discovery to be
-/// back is just after a call that then takes all of `AT_ONCE` to be given up. The second that is left is for the
-/// call that brings the news, and for heeding them.
-const MOST: Duration = TOLD.saturating_sub(AT_ONCE).saturating_sub(Duration::from_secs(1));
-/// No pause after a call that failed is shorter.
-const LEAST: Duration = Duration::from_millis(50);
-/// The pause after a list that is over its bounds doubles from the first of these to the second: the next one is most
-/// likely too large as well, and may cost as much to fetch as a day's changes.
-const REFUSED_FIRST: Duration = Duration::from_secs(15);
-const REFUSED_MOST: Duration = Duration::from_secs(300);
+/// How long after discovery has a change and can be reached again a sender must know the change, whatever
+/// failed before.
+const MAX_NEWS_DELAY: Duration = Duration::from_secs(6);
+/// The longest pause after a failed call, however many have failed in a row. In the worst case discovery
+/// returns just after the start of a call that takes all of `IMMEDIATE_TIMEOUT` to fail. The remaining second
+/// is for the next call and for applying its changes.
+const MAX_PAUSE: Duration =
+    MAX_NEWS_DELAY.saturating_sub(IMMEDIATE_TIMEOUT).saturating_sub(Duration::from_secs(1));
+/// The shortest pause after a failed call.
+const MIN_PAUSE: Duration = Duration::from_millis(50);
+/// The first and the longest pause after a list that exceeds its limits; the pause doubles each time. The
+/// next list is most likely too large as well, and fetching it may cost as much as the changes of a day.
+const FIRST_REFUSAL_PAUSE: Duration = Duration::from_secs(15);
+const MAX_REFUSAL_PAUSE: Duration = Duration::from_secs(300);
 
-/// When a sender calls again: back-off with full jitter, as all senders of a fleet fail together, and a watch's wait.
+/// Decides when a sender calls again: exponential backoff with full jitter, as all senders of a fleet fail
+/// together. Also decides how long a watch waits.
 pub struct Backoff {
-    each: Duration,
+    /// The mean time between two calls of one sender that gives the whole fleet one call per `FLEET_PAUSE`.
+    interval: Duration,
     /// Calls that failed in a row.
-    failed: u32,
-    /// Lists in a row that were over their bounds.
-    refused: u32,
+    failures: u32,
+    /// Lists in a row that exceeded their limits.
+    refusals: u32,
     random: fastrand::Rng,
 }
 
 impl Backoff {
+    /// Creates the backoff of one sender in a fleet of `senders`.
     pub fn new(senders: usize, seed: u64) -> Backoff {
-        let each = FLEET_PAUSE * senders.clamp(1, 100) as u32;
-        Backoff { each, failed: 0, refused: 0, random: fastrand::Rng::with_seed(seed) }
+        let interval = FLEET_PAUSE * senders.clamp(1, 100) as u32;
+        Backoff { interval, failures: 0, refusals: 0, random: fastrand::Rng::with_seed(seed) }
     }
 
-    /// Spread, as those that started together would go on in step.
-    fn wait(&mut self) -> Duration {
-        if self.each <= WAIT {
-            return WAIT;
+    /// Returns how long the next watch waits. In a large fleet it is drawn, as senders that started together
+    /// would stay in step otherwise.
+    fn watch_wait(&mut self) -> Duration {
+        if self.interval <= WATCH_WAIT {
+            return WATCH_WAIT;
         }
-        self.each.mul_f64(0.5 + self.random.f64() / 2.0)
+        self.interval.mul_f64(0.5 + self.random.f64() / 2.0)
     }
 
-    /// The pause after a watch broke, which is short where nothing has failed before it.
-    fn begin_anew(&mut self) -> Duration {
-        if self.failed > 0 {
-            return self.back_off();
+    /// Returns the pause after an answer that did not come or can't be used. It is short for the first
+    /// failure.
+    fn pause_after_unusable(&mut self) -> Duration {
+        if self.failures > 0 {
+            return self.pause_after_failure();
         }
-        self.failed = 1;
-        ANEW.mul_f64(self.random.f64())
+        self.failures = 1;
+        MAX_WATCH_RESTART_PAUSE.mul_f64(self.random.f64())
     }
 
-    /// The pause after one more call that failed: anywhere up to a bound that doubles each time.
-    fn back_off(&mut self) -> Duration {
-        let bound = (self.each * (1 << self.failed.min(8))).min(MOST);
-        self.failed += 1;
-        bound.mul_f64(self.random.f64()).max(LEAST)
+    /// Returns the pause after another failed call, drawn up to a bound that doubles each time.
+    fn pause_after_failure(&mut self) -> Duration {
+        let bound = (self.interval * (1 << self.failures.min(8))).min(MAX_PAUSE);
+        self.failures += 1;
+        bound.mul_f64(self.random.f64()).max(MIN_PAUSE)
     }
 
-    /// The pause after a list that is over its bounds: it grows to minutes.
-    fn after_refusal(&mut self) -> Duration {
-        let bound = (REFUSED_FIRST * (1 << self.refused.min(8))).min(REFUSED_MOST);
-        self.refused += 1;
+    /// Returns the pause after a list that exceeds its limits. It grows to minutes.
+    fn pause_after_refusal(&mut self) -> Duration {
+        let bound = (FIRST_REFUSAL_PAUSE * (1 << self.refusals.min(8))).min(MAX_REFUSAL_PAUSE);
+        self.refusals += 1;
         bound.mul_f64(0.5 + self.random.f64() / 2.0)
     }
 
-    fn answered(&mut self) {
-        (self.failed, self.refused) = (0, 0);
+    /// Resets the backoff after a list that was accepted.
+    fn reset(&mut self) {
+        (self.failures, self.refusals) = (0, 0);
     }
 }
 
 /// Why a call brought no list.
 #[derive(Debug, thiserror::Error)]
-enum Missed {
-    /// It was not taken on: callers are too many, or nobody listens.
-    #[error("turned away: {0}")]
-    TurnedAway(String),
-    /// It was, and then nothing came that can be used.
+enum FetchError {
+    /// The call was rejected, or no connection could be made.
+    #[error("the call was not accepted: {0}")]
+    NotAccepted(String),
+    /// The call was accepted, but no usable answer came.
     #[error("{0}")]
-    Broken(String),
-    /// A list came that is over its bounds.
+    Unusable(String),
+    /// The list exceeds its limits.
     #[error("{0}")]
-    Refused(IntakeError),
+    OverLimits(IntakeError),
 }
 
-impl From<BodyError> for Missed {
-    fn from(error: BodyError) -> Missed {
+impl From<BodyError> for FetchError {
+    fn from(error: BodyError) -> FetchError {
         match error {
-            BodyError::NotTaken(IntakeError::Unreadable(error)) => {
-                Missed::Broken(format!("not a list: {error}"))
+            BodyError::Rejected(IntakeError::Unreadable(error)) => {
+                FetchError::Unusable(format!("the answer is not a valid list: {error}"))
             }
-            BodyError::NotTaken(refused) => Missed::Refused(refused),
-            error => Missed::Broken(error.to_string()),
+            BodyError::Rejected(refused) => FetchError::OverLimits(refused),
+            error => FetchError::Unusable(error.to_string()),
         }
     }
 }
 
-/// An answer whose body has not been read, and the connection that it comes on.
-async fn ask(
-    connection: &mut Option<Connection>,
+/// Requests a list; returns the body of the answer, which is still to be read, and its connection.
+async fn request_list(
+    kept_connection: &mut Option<Connection>,
     at: SocketAddr,
     path: &str,
-) -> Result<(Connection, Incoming), Missed> {
-    let (link, answer) = loop {
-        let kept = Connection::kept_or_new(connection, at, Duration::from_secs(1)).await;
-        let mut link = kept.map_err(|e| Missed::TurnedAway(e.to_string()))?;
+) -> Result<(Connection, Incoming), FetchError> {
+    let (conn, answer) = loop {
+        let opened = Connection::reuse_or_open(kept_connection, at, Duration::from_secs(1)).await;
+        let mut conn = opened.map_err(|e| FetchError::NotAccepted(e.to_string()))?;
         let request = connection::request("GET", path, at, &[], Default::default());
-        match link.send(request).await {
-            Ok(answer) => break (link, answer),
-            // The kept connection had ended since the last answer: no call has failed, and a watch that goes on
-            // late is a new one. The next connection is new, so that this comes once.
-            Err(Fault::Unsent) if link.is_kept() => {}
-            Err(error) => return Err(Missed::Broken(error.to_string())),
+        match conn.send(request).await {
+            Ok(answer) => break (conn, answer),
+            // The kept connection was closed after the last answer. No call has failed, so it is made again
+            // at once, and only once, as the next connection is a new one.
+            Err(ExchangeError::Unsent) if conn.is_reused() => {}
+            Err(error) => return Err(FetchError::Unusable(error.to_string())),
         }
     };
     if answer.status() != StatusCode::OK {
-        return Err(Missed::TurnedAway(format!("answered {}", answer.status().as_u16())));
+        return Err(FetchError::NotAccepted(format!("answered {}", answer.status().as_u16())));
     }
-    Ok((link, answer.into_body()))
+    Ok((conn, answer.into_body()))
 }
 
-/// One call: the list that its answer brings by a time, or later where it is long and goes on coming.
-async fn get(
-    connection: &mut Option<Connection>,
+/// Makes one call and reads its list. A short list must be complete by `deadline`; a long one may take
+/// longer, as long as more of it keeps coming. Keeps the connection for the next call.
+async fn fetch_list(
+    kept_connection: &mut Option<Connection>,
     at: SocketAddr,
     path: &str,
     intake: &ListIntake,
-    by: Instant,
-) -> Result<Taken, Missed> {
-    let silent = |_| Missed::from(BodyError::Silent);
-    let (mut link, body) = timeout_at(by, ask(connection, at, path)).await.map_err(silent)??;
-    let taken = intake.read(body, by).await?;
-    link.settle().await;
-    *connection = Some(link);
+    deadline: Instant,
+) -> Result<Taken, FetchError> {
+    let timed_out = |_| FetchError::from(BodyError::TimedOut);
+    let (mut conn, body) =
+        timeout_at(deadline, request_list(kept_connection, at, path)).await.map_err(timed_out)??;
+    let taken = intake.read(body, deadline).await?;
+    conn.wait_until_ready().await;
+    *kept_connection = Some(conn);
     Ok(taken)
 }
 
-/// Never ends: while discovery is silent the sender goes on with the list it has. At a new address it asks for
-/// the whole list, whatever is under way at the old one.
+/// Follows the list of endpoints and passes each change to the core; returns only once the core has ended.
+/// While discovery is silent the sender goes on with the list that it has. When the address of discovery
+/// changes, the call in progress is dropped and the whole list is fetched from the new address.
 ///
-/// `known` is the version of the list that the sender starts with: changes since then cost discovery less than a
-/// whole list, above all where many senders start at once.
+/// `known` is the generation of the list that the sender starts with. Fetching the changes since then costs
+/// discovery less than a whole list, above all when many senders start at once.
 pub async fn follow(
     mut at: watch::Receiver<SocketAddr>,
     core: mpsc::Sender<Input>,
@@ -173,15 +186,15 @@
             changed = at.changed() => changed,
         };
         if changed.is_err() {
-            // No reload can come any more.
+            // The address can't change any more.
             return follow_at(address, &core, &mut backoff, &mut intake, None).await;
         }
-        // What failed at the old address tells nothing of the new one.
-        backoff.answered();
+        // Failures at the old address say nothing about the new one.
+        backoff.reset();
     }
 }
 
-/// Ends with the core.
+/// Follows the list at one address until the core has ended.
 async fn follow_at(
     at: SocketAddr,
     core: &mpsc::Sender<Input>,
@@ -189,20 +202,20 @@
     intake: &mut ListIntake,
     mut known: Option<u64>,
 ) {
-    let mut connection = None;
+    let mut kept_connection = None;
     let (mut failing, mut refusing, mut first) = (false, false, true);
     loop {
-        // The first answer is waited for, so it comes at once.
-        let wait = if first { Duration::ZERO } else { backoff.wait() };
+        // The first answer is needed at once, so discovery must not wait for a change.
+        let wait = if first { Duration::ZERO } else { backoff.watch_wait() };
         let path = known.map_or("/v1/servers".to_string(), |generation| {
             format!("/v1/servers?index={generation}&wait={}", wait.as_millis())
         });
-        let allowed = if wait.is_zero() { AT_ONCE } else { wait + GRACE };
-        let answer = get(&mut connection, at, &path, intake, Instant::now() + allowed).await;
-        // A change builds on a list: the first answer must be whole.
+        let timeout = if wait.is_zero() { IMMEDIATE_TIMEOUT } else { wait + WATCH_GRACE };
+        let answer = fetch_list(&mut kept_connection, at, &path, intake, Instant::now() + timeout).await;
+        // Without a known list there is nothing to apply changes to.
         let answer = answer.and_then(|taken| match taken.reset || known.is_some() {
             true => Ok(taken),
-            false => Err(Missed::Broken("changes came where the whole list was asked for".into())),
+            false => Err(FetchError::Unusable("expected the whole list, received only changes".into())),
         });
         match answer {
             Ok(taken) => {
@@ -210,38 +223,43 @@
                     tracing::info!("discovery answers again");
                 }
                 if taken.unreadable > 0 {
-                    tracing::warn!(entries = taken.unreadable, "entries of a list can't be read");
+                    tracing::warn!(
+                        entries = taken.unreadable,
+                        "left out unreadable entries of discovery's list"
+                    );
                 }
-                backoff.answered();
+                backoff.reset();
                 intake.put_in_force(&taken);
-                let news = taken.reset || taken.entries > 0 || known != Some(taken.generation);
+                let changed = taken.reset || taken.entries > 0 || known != Some(taken.generation);
                 known = Some(taken.generation);
-                if (std::mem::take(&mut first) || news) && core.send(Input::Catalogue(taken)).await.is_err() {
+                if (std::mem::take(&mut first) || changed)
+                    && core.send(Input::Catalogue(taken)).await.is_err()
+                {
                     return;
                 }
-                // On to the next at once: what comes later is a new watch, which may be turned away.
+                // The next watch follows without a pause: discovery may reject one that comes late.
             }
-            Err(Missed::Refused(error)) => {
+            Err(FetchError::OverLimits(error)) => {
                 if !std::mem::replace(&mut refusing, true) {
                     tracing::error!(%error, "discovery's list is refused; going on with the list held");
                 }
                 first = true;
-                let pause = backoff.after_refusal();
-                tracing::debug!(%at, %error, ?pause, "discovery is asked again later");
+                let pause = backoff.pause_after_refusal();
+                tracing::debug!(%at, %error, ?pause, "pausing before the next call to discovery");
                 sleep(pause).await;
             }
             Err(error) => {
                 if !std::mem::replace(&mut failing, true) {
                     tracing::warn!(%error, "discovery fails; going on with the list held");
                 }
-                // Whatever failed: what was missed is asked for, not waited for. A watch could be as silent as
-                // what failed, for all of its wait.
+                // After any failure the next call asks for an immediate answer: a watch could be silent as
+                // well, and for all of its wait.
                 first = true;
                 let pause = match error {
-                    Missed::TurnedAway(_) => backoff.back_off(),
-                    _ => backoff.begin_anew(),
+                    FetchError::NotAccepted(_) => backoff.pause_after_failure(),
+                    _ => backoff.pause_after_unusable(),
                 };
-                tracing::debug!(%at, ?pause, "discovery is asked again later");
+                tracing::debug!(%at, ?pause, "pausing before the next call to discovery");
                 sleep(pause).await;
             }
         }
--- a/src/bin/sender/list_intake.rs
+++ b/src/bin/sender/list_intake.rs
@@ -1,5 +1,6 @@
-//! Takes in lists of endpoints: short ones on the loop, long ones as a stream on a thread started for that one list.
-use crate::body_channel::{body_channel, BodyWriter, ReaderGone};
+//! Reads lists of endpoints from HTTP bodies: short ones on the event loop, long ones as a stream on a thread
+//! that is started for that one list.
+use crate::body_channel::{body_channel, BodyWriter, ReaderDropped};
 use crate::memory;
 use bytes::{Bytes, BytesMut};
 use catalogue::intake::{self, IntakeError, Taken};
@@ -13,46 +14,52 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// A body of at most so many bytes is collected and read on the loop.
-const SHORT_BODY: usize = 64 << 10;
-/// How long a longer one may take in all leaves some 50 MB at 400 KB/s.
-const PATIENCE: Patience =
-    Patience { silence: Duration::from_millis(2_500), whole: Duration::from_secs(120) };
-/// A catalogue of more endpoints is dropped on a thread of its own.
-const LARGE: usize = 10_000;
+/// Maximum size of a body that is collected and read on the event loop.
+const MAX_SHORT_BODY: usize = 64 << 10;
+/// The time limits of a longer body. The total is enough for about 50 MB at 400 KB/s.
+const LONG_BODY_TIMEOUTS: Timeouts =
+    Timeouts { between_parts: Duration::from_millis(2_500), total: Duration::from_secs(120) };
+/// Catalogues with more endpoints than this are dropped on a thread of their own.
+const LARGE_CATALOGUE: usize = 10_000;
 
 /// Why a body brought no list.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    #[error("is silent")]
-    Silent,
-    #[error("the list broke off: {0}")]
-    BrokeOff(String),
+    /// The body, or its next part, did not arrive in time.
+    #[error("the answer did not arrive in time")]
+    TimedOut,
+    /// The body broke off, or the thread that reads it failed.
+    #[error("cannot read the list: {0}")]
+    Failed(String),
+    /// The list is malformed or exceeds its limits.
     #[error(transparent)]
-    NotTaken(#[from] IntakeError),
+    Rejected(#[from] IntakeError),
 }
 
-/// How long a body that was found long may take.
+/// Time limits of a long body.
 #[derive(Clone, Copy)]
-struct Patience {
-    /// From one part of it to the next.
-    silence: Duration,
-    whole: Duration,
+struct Timeouts {
+    /// From one part of the body to the next.
+    between_parts: Duration,
+    /// From the start of the long body to its end.
+    total: Duration,
 }
 
-/// The catalogue's one writer.
+/// Reads lists and holds the catalogue on which the next changes build. It is the only writer of the
+/// catalogue.
 pub struct ListIntake {
     catalogue: Catalogue,
     limits: Limits,
-    patience: Patience,
+    timeouts: Timeouts,
 }
 
 impl ListIntake {
+    /// Creates an intake whose first changes build on the given catalogue.
     pub fn new(catalogue: Catalogue, limits: Limits) -> ListIntake {
-        ListIntake { catalogue, limits, patience: PATIENCE }
+        ListIntake { catalogue, limits, timeouts: LONG_BODY_TIMEOUTS }
     }
 
-    /// Makes a list the one in force, on which the next changes build.
+    /// Replaces the catalogue on which the next changes build.
     pub fn put_in_force(&mut self, taken: &Taken) {
         let before = std::mem::replace(&mut self.catalogue, taken.catalogue.clone());
         if taken.reset {
@@ -60,67 +67,69 @@
         }
     }
 
-    /// Reads a body. It has to be whole by a time, or to be found long by then; from there on it has to go on
-    /// coming. The catalogue in force stays as it is.
-    pub async fn read<B>(&self, mut body: B, by: Instant) -> Result<Taken, BodyError>
+    /// Reads a body without changing the catalogue in force. By `deadline` the body must be complete or known
+    /// to be long; a long one must keep coming from then on.
+    pub async fn read<B>(&self, mut body: B, deadline: Instant) -> Result<Taken, BodyError>
     where
         B: Body<Data = Bytes, Error: Display> + Unpin,
     {
-        let mut begun = VecDeque::new();
+        let mut received = VecDeque::new();
         let mut length = 0;
-        while length.max(body.size_hint().lower() as usize) <= SHORT_BODY {
-            let data = timeout_at(by, next_data(&mut body)).await.map_err(|_| BodyError::Silent)??;
-            let Some(data) = data else { return self.read_short(begun) };
+        while length.max(body.size_hint().lower() as usize) <= MAX_SHORT_BODY {
+            let data =
+                timeout_at(deadline, next_data(&mut body)).await.map_err(|_| BodyError::TimedOut)??;
+            let Some(data) = data else { return self.read_short(received) };
             length += data.len();
-            begun.push_back(data);
+            received.push_back(data);
         }
-        timeout(self.patience.whole, self.read_long(begun, body)).await.unwrap_or(Err(BodyError::Silent))
+        timeout(self.timeouts.total, self.read_long(received, body)).await.unwrap_or(Err(BodyError::TimedOut))
     }
 
     fn read_short(&self, parts: VecDeque<Bytes>) -> Result<Taken, BodyError> {
-        let mut whole = BytesMut::new();
-        parts.iter().for_each(|part| whole.extend_from_slice(part));
-        Ok(intake::read(&whole[..], &self.catalogue, &self.limits)?)
+        let mut body = BytesMut::new();
+        parts.iter().for_each(|part| body.extend_from_slice(part));
+        Ok(intake::read(&body[..], &self.catalogue, &self.limits)?)
     }
 
-    async fn read_long<B>(&self, begun: VecDeque<Bytes>, body: B) -> Result<Taken, BodyError>
+    /// Reads a body of which the first parts were received already, on a thread of its own.
+    async fn read_long<B>(&self, received: VecDeque<Bytes>, body: B) -> Result<Taken, BodyError>
     where
         B: Body<Data = Bytes, Error: Display> + Unpin,
     {
         let (writer, reader) = body_channel();
-        let (tell, taken) = oneshot::channel();
+        let (result_sender, result) = oneshot::channel();
         let (current, limits) = (self.catalogue.clone(), self.limits);
         let read = move || {
             let taken = intake::read(reader, &current, &limits);
             drop(current);
-            let _ = tell.send(taken);
+            let _ = result_sender.send(taken);
         };
-        let started = thread::Builder::new().name("list-intake".into()).spawn(read);
-        started.map_err(|e| BodyError::BrokeOff(format!("no thread to read it: {e}")))?;
-        // Where this fails the writer is dropped, and the thread ends with an error that nobody hears.
-        feed(writer, begun, body, self.patience.silence).await?;
-        let taken = taken.await.map_err(|_| BodyError::BrokeOff("its reader ended".into()))?;
+        let spawned = thread::Builder::new().name("list-intake".into()).spawn(read);
+        spawned.map_err(|e| BodyError::Failed(format!("cannot start a thread: {e}")))?;
+        // If this fails the writer is dropped, and the thread ends with an error that is not reported.
+        feed(writer, received, body, self.timeouts.between_parts).await?;
+        let taken = result.await.map_err(|_| BodyError::Failed("the reading thread has failed".into()))?;
         Ok(taken?)
     }
 }
 
-/// Passes a body on, until its end or until its reader has made up its mind.
+/// Passes a body to its reader, until the body ends or the reader needs no more of it.
 async fn feed<B>(
     writer: BodyWriter,
-    mut begun: VecDeque<Bytes>,
+    mut received: VecDeque<Bytes>,
     mut body: B,
-    silence: Duration,
+    part_timeout: Duration,
 ) -> Result<(), BodyError>
 where
     B: Body<Data = Bytes, Error: Display> + Unpin,
 {
     loop {
-        let data = match begun.pop_front() {
+        let data = match received.pop_front() {
             Some(data) => Some(data),
-            None => timeout(silence, next_data(&mut body)).await.map_err(|_| BodyError::Silent)??,
+            None => timeout(part_timeout, next_data(&mut body)).await.map_err(|_| BodyError::TimedOut)??,
         };
         let Some(data) = data else { break };
-        if let Err(ReaderGone) = writer.write(data).await {
+        if let Err(ReaderDropped) = writer.write(data).await {
             return Ok(());
         }
     }
@@ -128,7 +137,7 @@
     Ok(())
 }
 
-/// The next bytes; None at the end of a body that came whole.
+/// Returns the next bytes of a body; None at its end.
 async fn next_data<B>(body: &mut B) -> Result<Option<Bytes>, BodyError>
 where
     B: Body<Data = Bytes, Error: Display> + Unpin,
@@ -136,7 +145,7 @@
     loop {
         match body.frame().await {
             None => return Ok(None),
-            Some(Err(error)) => return Err(BodyError::BrokeOff(error.to_string())),
+            Some(Err(error)) => return Err(BodyError::Failed(error.to_string())),
             Some(Ok(frame)) => {
                 if let Ok(data) = frame.into_data() {
                     return Ok(Some(data));
@@ -146,15 +155,17 @@
     }
 }
 
-/// Drops a snapshot that may be the last one of its list, a large one off the loop.
+/// Drops a catalogue; if it is a large one and this was its last holder, on a thread, to keep the event loop
+/// free.
 pub fn release(catalogue: Catalogue) {
-    // All holders but the list's reader, which ends first, are on the loop.
-    if catalogue.len() > LARGE && catalogue.is_last_holder() {
+    // All other holders are on the event loop, except for the thread that reads a list, which has ended by
+    // now.
+    if catalogue.len() > LARGE_CATALOGUE && catalogue.is_last_holder() {
         let drop_and_give_back = move || {
             drop(catalogue);
             memory::give_back();
         };
-        // Where there is no thread to be had it is dropped here.
+        // If no thread can be started the closure, and with it the catalogue, is dropped here.
         let _ = thread::Builder::new().spawn(drop_and_give_back);
     }
 }
--- a/src/bin/sender/list_intake/tests.rs
+++ b/src/bin/sender/list_intake/tests.rs
@@ -1,4 +1,4 @@
-//! Lists that come whole, late, broken or too large.
+//! Tests of lists that are complete, late, truncated or too large.
 use super::*;
 use hyper::body::{Frame, SizeHint};
 use std::cell::Cell;
@@ -7,22 +7,22 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// What a body does next.
+/// What a scripted body does next.
 #[derive(Clone)]
 enum Step {
-    Bring(Bytes),
-    Break,
+    Data(Bytes),
+    Fail,
     Hang,
 }
 
-/// A body that follows a script; counts the bytes that were taken from it.
-struct Scripted {
+/// A body that follows a script and counts the bytes that were read from it.
+struct ScriptedBody {
     steps: VecDeque<Step>,
-    taken: Rc<Cell<usize>>,
+    bytes_read: Rc<Cell<usize>>,
     length: Option<u64>,
 }
 
-impl Body for Scripted {
+impl Body for ScriptedBody {
     type Data = Bytes;
     type Error = &'static str;
 
@@ -32,11 +32,11 @@
     ) -> Poll<Option<Result<Frame<Bytes>, &'static str>>> {
         match self.steps.pop_front() {
             None => Poll::Ready(None),
-            Some(Step::Bring(bytes)) => {
-                self.taken.set(self.taken.get() + bytes.len());
+            Some(Step::Data(bytes)) => {
+                self.bytes_read.set(self.bytes_read.get() + bytes.len());
                 Poll::Ready(Some(Ok(Frame::data(bytes))))
             }
-            Some(Step::Break) => Poll::Ready(Some(Err("reset"))),
+            Some(Step::Fail) => Poll::Ready(Some(Err("reset"))),
             Some(Step::Hang) => {
                 self.steps.push_front(Step::Hang);
                 Poll::Pending
@@ -49,6 +49,7 @@
     }
 }
 
+/// Returns a whole list with this number of endpoints.
 fn list(endpoints: usize) -> String {
     let entry = |i| {
         format!(
@@ -59,19 +60,21 @@
     format!(r#"{{"generation":7,"reset":true,"instances":[{}]}}"#, entries.join(","))
 }
 
-/// A text in pieces, then what else is to come.
+/// Returns the steps that send a text in pieces, followed by further steps.
 fn steps(text: &str, then: &[Step]) -> VecDeque<Step> {
-    let pieces = text.as_bytes().chunks(5_000).map(|piece| Step::Bring(Bytes::copy_from_slice(piece)));
+    let pieces = text.as_bytes().chunks(5_000).map(|piece| Step::Data(Bytes::copy_from_slice(piece)));
     pieces.chain(then.iter().cloned()).collect()
 }
 
+/// Endpoints of a list that is long enough to be read on a thread.
 const LONG: usize = 2_000;
-/// How long a call may take, and a long body may be silent.
-const CALL: Duration = Duration::from_millis(200);
-const SILENCE: Duration = Duration::from_millis(300);
-const WHOLE_LIMITS: Limits = Limits { max_entries: usize::MAX, max_bytes: usize::MAX };
+/// How long a short body may take.
+const SHORT_BODY_TIMEOUT: Duration = Duration::from_millis(200);
+/// How long a long body may take from one part to the next.
+const PART_TIMEOUT: Duration = Duration::from_millis(300);
+const NO_LIMITS: Limits = Limits { max_entries: usize::MAX, max_bytes: usize::MAX };
 
-/// What comes of a body, how many bytes of it were taken, and how long that took.
+/// Reads a scripted body; returns the result, how many bytes were read, and how long that took.
 fn read(
     steps: VecDeque<Step>,
     length: Option<u64>,
@@ -80,77 +83,81 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let mut intake = ListIntake::new(Catalogue::default(), limits);
-        intake.patience.silence = SILENCE;
-        let taken = Rc::new(Cell::new(0));
-        let begun = Instant::now();
-        let body = Scripted { steps, taken: taken.clone(), length };
-        let result = intake.read(body, begun + CALL).await;
-        (result, taken.get(), begun.elapsed())
+        intake.timeouts.between_parts = PART_TIMEOUT;
+        let bytes_read = Rc::new(Cell::new(0));
+        let started = Instant::now();
+        let body = ScriptedBody { steps, bytes_read: bytes_read.clone(), length };
+        let result = intake.read(body, started + SHORT_BODY_TIMEOUT).await;
+        (result, bytes_read.get(), started.elapsed())
     })
 }
 
-fn broke_off(result: &Result<Taken, BodyError>) -> bool {
-    matches!(result, Err(BodyError::BrokeOff(_)))
+fn failed(result: &Result<Taken, BodyError>) -> bool {
+    matches!(result, Err(BodyError::Failed(_)))
 }
 
 #[test]
-fn a_short_and_a_long_list_are_taken_in_alike() {
+fn reads_short_and_long_lists() {
     for endpoints in [3, LONG] {
         let text = list(endpoints);
         for length in [None, Some(text.len() as u64)] {
-            let taken = read(steps(&text, &[]), length, WHOLE_LIMITS).0.unwrap();
+            let taken = read(steps(&text, &[]), length, NO_LIMITS).0.unwrap();
             assert_eq!((taken.catalogue.len(), taken.generation, taken.reset), (endpoints, 7, true));
         }
     }
 }
 
 #[test]
-fn a_list_that_breaks_off_or_ends_in_its_middle_is_none() {
+fn truncated_list_is_error() {
     for endpoints in [3, LONG] {
         let text = list(endpoints);
-        let (result, ..) = read(steps(&text, &[Step::Break]), None, WHOLE_LIMITS);
-        assert!(broke_off(&result), "{endpoints}");
-        let (result, ..) = read(steps(&text[..text.len() / 2], &[]), None, WHOLE_LIMITS);
-        let torn = matches!(result, Err(BodyError::NotTaken(IntakeError::Unreadable(_))));
-        assert!(torn, "{endpoints}");
+        let (result, ..) = read(steps(&text, &[Step::Fail]), None, NO_LIMITS);
+        assert!(failed(&result), "{endpoints} endpoints");
+        let (result, ..) = read(steps(&text[..text.len() / 2], &[]), None, NO_LIMITS);
+        let unreadable = matches!(result, Err(BodyError::Rejected(IntakeError::Unreadable(_))));
+        assert!(unreadable, "{endpoints} endpoints");
     }
 }
 
 #[test]
-fn a_body_that_falls_silent_is_given_up_by_the_call_s_time_or_by_its_lack_of_progress() {
-    let (result, _, after) = read(steps(&list(3)[..100], &[Step::Hang]), None, WHOLE_LIMITS);
-    assert!(matches!(result, Err(BodyError::Silent)));
-    assert!(after >= CALL, "{after:?}");
+fn body_that_stalls_times_out() {
+    let (result, _, after) = read(steps(&list(3)[..100], &[Step::Hang]), None, NO_LIMITS);
+    assert!(matches!(result, Err(BodyError::TimedOut)));
+    assert!(after >= SHORT_BODY_TIMEOUT, "{after:?}");
     let text = list(LONG);
-    let (result, _, after) = read(steps(&text[..text.len() / 2], &[Step::Hang]), None, WHOLE_LIMITS);
-    assert!(matches!(result, Err(BodyError::Silent)));
-    assert!(after >= SILENCE && after < PATIENCE.whole, "{after:?}");
+    let (result, _, after) = read(steps(&text[..text.len() / 2], &[Step::Hang]), None, NO_LIMITS);
+    assert!(matches!(result, Err(BodyError::TimedOut)));
+    assert!(after >= PART_TIMEOUT && after < LONG_BODY_TIMEOUTS.total, "{after:?}");
 }
 
 #[test]
-fn a_list_over_its_bounds_is_refused_with_both_figures_before_it_has_come_whole() {
+fn list_over_limits_is_rejected_before_its_end() {
     let text = list(20 * LONG);
     let limits = Limits { max_entries: 100, max_bytes: usize::MAX };
-    let (result, taken, _) = read(steps(&text, &[]), Some(text.len() as u64), limits);
-    let Err(BodyError::NotTaken(IntakeError::TooManyEntries { entries, allowed })) = result else {
-        panic!("it was not refused")
+    let (result, bytes_read, _) = read(steps(&text, &[]), Some(text.len() as u64), limits);
+    let Err(BodyError::Rejected(IntakeError::TooManyEntries { entries, allowed })) = result else {
+        panic!("the list was not rejected")
     };
     assert_eq!((entries, allowed), (101, 100));
-    assert!(taken < text.len() / 4, "{taken} of {} bytes", text.len());
+    assert!(bytes_read < text.len() / 4, "{bytes_read} of {} bytes read", text.len());
 }
 
 #[test]
-fn changes_build_on_the_list_that_was_put_in_force() {
+fn changes_apply_to_list_in_force() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
-        let mut intake = ListIntake::new(Catalogue::default(), WHOLE_LIMITS);
-        let body = |text: &str| Scripted { steps: steps(text, &[]), taken: Rc::default(), length: None };
-        let by = Instant::now() + Duration::from_secs(10);
-        let whole = intake.read(body(&list(LONG)), by).await.unwrap();
+        let mut intake = ListIntake::new(Catalogue::default(), NO_LIMITS);
+        let body = |text: &str| ScriptedBody {
+            steps: steps(text, &[]),
+            bytes_read: Rc::default(),
+            length: None,
+        };
+        let deadline = Instant::now() + Duration::from_secs(10);
+        let whole = intake.read(body(&list(LONG)), deadline).await.unwrap();
         intake.put_in_force(&whole);
         let change =
             r#"{"generation":8,"reset":false,"instances":[{"instanceId":"e-1","hostPort":"127.0.0.1:5000","cell":1,"lifecycle":"Gone"}]}"#;
-        let changed = intake.read(body(change), by).await.unwrap();
+        let changed = intake.read(body(change), deadline).await.unwrap();
         assert_eq!((changed.catalogue.len(), changed.generation), (LONG - 1, 8));
         assert_eq!(changed.changed, [whole.catalogue.id("e-1").unwrap()]);
     });
--- a/src/bin/sender/notices.rs
+++ b/src/bin/sender/notices.rs
@@ -1,4 +1,4 @@
-//! Notices to the platform: how messages ended that were taken on and not delivered.
+//! Sends notices to the platform: reports of how accepted messages ended that were not delivered.
 use crate::client::MAX_BODY;
 use crate::connection::{self, Connection};
 use crate::input::Input;
@@ -9,23 +9,26 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 
+/// How one message ended.
 pub struct Notice {
     pub id: u64,
     pub trace: String,
     pub ending: Ending,
 }
 
-/// Notices in one post at most: with the longest ids that are taken on the body stays under 64 KiB.
-const MOST: usize = 100;
-/// How long the platform may take to answer: it does at once, and a notice counts up to 300 ms after its message's
-/// time. So a post that meets a connection which has fallen silent, or had just ended, is soon repeated on another
-/// one; each further try may take twice as long, as a platform that is slow is not helped by more posts.
-const ANSWER: Duration = Duration::from_millis(100);
-const LONGEST: Duration = Duration::from_secs(1);
-/// The pause before a post is repeated, but for the first time.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Maximum number of notices in one post. With the longest ids that are accepted its body stays under 64 KiB.
+const MAX_BATCH: usize = 100;
+/// How long the first attempt of a post may take. The platform answers at once, and a notice counts only up
+/// to 300 ms after its message's deadline, so a post on a connection that is silent or was just closed is
+/// soon repeated on another one. Each further attempt may take twice as long, as more posts would not help a
+/// platform that is slow.
+const FIRST_TIMEOUT: Duration = Duration::from_millis(100);
+const MAX_TIMEOUT: Duration = Duration::from_secs(1);
+/// The pause before each further attempt. The second attempt follows the first without one.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-fn line(notice: &Notice) -> String {
+/// Formats a notice as one line of JSON.
+fn json_line(notice: &Notice) -> String {
     let line = match notice.ending {
         Ending::GivenUp => json!({"message": notice.trace, "outcome": "given_up"}),
         Ending::HandedBack(None) => json!({"message": notice.trace, "outcome": "handed_back"}),
@@ -36,13 +39,14 @@
     format!("{line}\n")
 }
 
-async fn post(connection: &mut Option<Connection>, at: SocketAddr, body: &str) -> Result<(), String> {
-    let kept = Connection::kept_or_new(connection, at, LONGEST).await;
-    let mut link = kept.map_err(|e| e.to_string())?;
+/// Posts a batch of notices and keeps the connection for the next post.
+async fn post(kept_connection: &mut Option<Connection>, at: SocketAddr, body: &str) -> Result<(), String> {
+    let opened = Connection::reuse_or_open(kept_connection, at, MAX_TIMEOUT).await;
+    let mut conn = opened.map_err(|e| e.to_string())?;
     let headers = [("content-type", "application/x-ndjson")];
     let request = connection::request("POST", "/reports", at, &headers, body.to_string().into());
-    let (status, ..) = link.exchange(request, MAX_BODY).await.map_err(|e| e.to_string())?;
-    *connection = Some(link);
+    let (status, ..) = conn.exchange(request, MAX_BODY).await.map_err(|e| e.to_string())?;
+    *kept_connection = Some(conn);
     if status == 204 {
         Ok(())
     } else {
@@ -50,40 +54,40 @@
     }
 }
 
-/// Posts what the core hands over and tells it what was answered for. A post is repeated until then, as each
-/// of its messages is owed its end; a notice that comes twice does no harm.
-/// Each try goes to where discovery is by then.
+/// Posts the notices of the core and tells the core once they are acknowledged. A post is repeated until
+/// then, as every message must be reported; a notice that arrives twice does no harm. Each attempt goes to
+/// the current address of discovery.
 pub async fn run(
     mut at: watch::Receiver<SocketAddr>,
     mut notices: mpsc::UnboundedReceiver<Notice>,
     core: mpsc::Sender<Input>,
 ) {
-    let mut connection = None;
+    let mut kept_connection = None;
     let mut failing = false;
     let mut batch = Vec::new();
-    while notices.recv_many(&mut batch, MOST).await > 0 {
-        let body: String = batch.iter().map(line).collect();
-        let mut allowed = ANSWER;
+    while notices.recv_many(&mut batch, MAX_BATCH).await > 0 {
+        let body: String = batch.iter().map(json_line).collect();
+        let mut attempt_timeout = FIRST_TIMEOUT;
         loop {
             if at.has_changed().unwrap_or(false) {
-                connection = None;
+                kept_connection = None;
             }
             let address = *at.borrow_and_update();
-            let posted = timeout(allowed, post(&mut connection, address, &body)).await;
-            let Err(error) = posted.unwrap_or(Err("is silent".into())) else { break };
-            let first = allowed == ANSWER;
-            allowed = (2 * allowed).min(LONGEST);
+            let posted = timeout(attempt_timeout, post(&mut kept_connection, address, &body)).await;
+            let Err(error) = posted.unwrap_or(Err("no answer in time".into())) else { break };
+            let first = attempt_timeout == FIRST_TIMEOUT;
+            attempt_timeout = (2 * attempt_timeout).min(MAX_TIMEOUT);
             if first {
-                tracing::debug!(%error, notices = batch.len(), "a post of notices is repeated");
+                tracing::debug!(%error, notices = batch.len(), "a post of notices failed, retrying");
                 continue;
             }
             if !std::mem::replace(&mut failing, true) {
-                tracing::warn!(%error, notices = batch.len(), "the platform takes no notices");
+                tracing::warn!(%error, notices = batch.len(), "posts of notices to the platform fail");
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         }
         if std::mem::take(&mut failing) {
-            tracing::info!("the platform takes notices again");
+            tracing::info!("the platform accepts notices again");
         }
         let ids = batch.drain(..).map(|n| n.id).collect();
         if core.send(Input::Noticed(ids)).await.is_err() {
