--- a/src/bin/sender/discovery.rs
+++ b/src/bin/sender/discovery.rs
@@ -127,13 +127,13 @@
 /// Requests a list; returns the body of the answer, which is still to be read, and its connection.
 async fn request_list(
     kept_connection: &mut Option<Connection>,
-    at: SocketAddr,
+    address: SocketAddr,
     path: &str,
 ) -> Result<(Connection, Incoming), FetchError> {
     let (conn, answer) = loop {
-        let opened = Connection::reuse_or_open(kept_connection, at, Duration::from_secs(1)).await;
+        let opened = Connection::reuse_or_open(kept_connection, address, Duration::from_secs(1)).await;
         let mut conn = opened.map_err(|e| FetchError::NotAccepted(e.to_string()))?;
-        let request = connection::request("GET", path, at, &[], Default::default());
+        let request = connection::request("GET", path, address, &[], Default::default());
         match conn.send(request).await {
             Ok(answer) => break (conn, answer),
             // The kept connection was closed after the last answer. No call has failed, so it is made again
@@ -152,14 +152,14 @@
 /// longer, as long as more of it keeps coming. Keeps the connection for the next call.
 async fn fetch_list(
     kept_connection: &mut Option<Connection>,
-    at: SocketAddr,
+    address: SocketAddr,
     path: &str,
     intake: &ListIntake,
     deadline: Instant,
 ) -> Result<Taken, FetchError> {
     let timed_out = |_| FetchError::from(BodyError::TimedOut);
     let (mut conn, body) =
-        timeout_at(deadline, request_list(kept_connection, at, path)).await.map_err(timed_out)??;
+        timeout_at(deadline, request_list(kept_connection, address, path)).await.map_err(timed_out)??;
     let taken = intake.read(body, deadline).await?;
     conn.wait_until_ready().await;
     *kept_connection = Some(conn);
@@ -173,17 +173,17 @@
 /// `known` is the generation of the list that the sender starts with. Fetching the changes since then costs
 /// discovery less than a whole list, above all when many senders start at once.
 pub async fn follow(
-    mut at: watch::Receiver<SocketAddr>,
+    mut addresses: watch::Receiver<SocketAddr>,
     core: mpsc::Sender<Input>,
     mut backoff: Backoff,
     mut intake: ListIntake,
     mut known: Option<u64>,
 ) {
     loop {
-        let address = *at.borrow_and_update();
+        let address = *addresses.borrow_and_update();
         let changed = tokio::select! {
             () = follow_at(address, &core, &mut backoff, &mut intake, known.take()) => return,
-            changed = at.changed() => changed,
+            changed = addresses.changed() => changed,
         };
         if changed.is_err() {
             // The address can't change any more.
@@ -196,7 +196,7 @@
 
 /// Follows the list at one address until the core has ended.
 async fn follow_at(
-    at: SocketAddr,
+    address: SocketAddr,
     core: &mpsc::Sender<Input>,
     backoff: &mut Backoff,
     intake: &mut ListIntake,
@@ -211,7 +211,7 @@
             format!("/v1/servers?index={generation}&wait={}", wait.as_millis())
         });
         let timeout = if wait.is_zero() { IMMEDIATE_TIMEOUT } else { wait + WATCH_GRACE };
-        let answer = fetch_list(&mut kept_connection, at, &path, intake, Instant::now() + timeout).await;
+        let answer = fetch_list(&mut kept_connection, address, &path, intake, Instant::now() + timeout).await;
         // Without a known list there is nothing to apply changes to.
         let answer = answer.and_then(|taken| match taken.reset || known.is_some() {
             true => Ok(taken),
@@ -245,7 +245,7 @@
                 }
                 first = true;
                 let pause = backoff.pause_after_refusal();
-                tracing::debug!(%at, %error, ?pause, "pausing before the next call to discovery");
+                tracing::debug!(%address, %error, ?pause, "pausing before the next call to discovery");
                 sleep(pause).await;
             }
             Err(error) => {
@@ -259,7 +259,7 @@
                     FetchError::NotAccepted(_) => backoff.pause_after_failure(),
                     _ => backoff.pause_after_unusable(),
                 };
-                tracing::debug!(%at, ?pause, "pausing before the next call to discovery");
+                tracing::debug!(%address, ?pause, "pausing before the next call to discovery");
                 sleep(pause).await;
             }
         }
--- a/src/bin/sender/notices.rs
+++ b/src/bin/sender/notices.rs
@@ -40,11 +40,15 @@
 }
 
 /// Posts a batch of notices and keeps the connection for the next post.
-async fn post(kept_connection: &mut Option<Connection>, at: SocketAddr, body: &str) -> Result<(), String> {
-    let opened = Connection::reuse_or_open(kept_connection, at, MAX_TIMEOUT).await;
+async fn post(
+    kept_connection: &mut Option<Connection>,
+    address: SocketAddr,
+    body: &str,
+) -> Result<(), String> {
+    let opened = Connection::reuse_or_open(kept_connection, address, MAX_TIMEOUT).await;
     let mut conn = opened.map_err(|e| e.to_string())?;
     let headers = [("content-type", "application/x-ndjson")];
-    let request = connection::request("POST", "/reports", at, &headers, body.to_string().into());
+    let request = connection::request("POST", "/reports", address, &headers, body.to_string().into());
     let (status, ..) = conn.exchange(request, MAX_BODY).await.map_err(|e| e.to_string())?;
     *kept_connection = Some(conn);
     if status == 204 {
@@ -58,7 +62,7 @@
 /// then, as every message must be reported; a notice that arrives twice does no harm. Each attempt goes to
 /// the current address of discovery.
 pub async fn run(
-    mut at: watch::Receiver<SocketAddr>,
+    mut addresses: watch::Receiver<SocketAddr>,
     mut notices: mpsc::UnboundedReceiver<Notice>,
     core: mpsc::Sender<Input>,
 ) {
@@ -69,10 +73,10 @@
         let body: String = batch.iter().map(json_line).collect();
         let mut attempt_timeout = FIRST_TIMEOUT;
         loop {
-            if at.has_changed().unwrap_or(false) {
+            if addresses.has_changed().unwrap_or(false) {
                 kept_connection = None;
             }
-            let address = *at.borrow_and_update();
+            let address = *addresses.borrow_and_update();
             let posted = timeout(attempt_timeout, post(&mut kept_connection, address, &body)).await;
             let Err(error) = posted.unwrap_or(Err("no answer in time".into())) else { break };
             let first = attempt_timeout == FIRST_TIMEOUT;
--- a/src/bin/sender/server.rs
+++ b/src/bin/sender/server.rs
@@ -105,10 +105,10 @@
     /// Returns whether the headers are complete and contain no Content-Length.
     fn lacks_content_length(&self) -> bool {
         let head = self.head.borrow();
-        let named =
+        let header_name =
             |line: &[u8]| line.split(|&b| b == b':').next().map(|n| n.trim_ascii().to_ascii_lowercase());
-        let length = |line: &[u8]| named(line).as_deref() == Some(b"content-length");
-        head.ends_with(HEAD_END) && !head.split(|&b| b == b'\n').any(length)
+        let is_length = |line: &[u8]| header_name(line).as_deref() == Some(b"content-length");
+        head.ends_with(HEAD_END) && !head.split(|&b| b == b'\n').any(is_length)
     }
 
     /// Returns the rank by which connections are evicted, the lowest first; None if this one may not be
