--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,14 +1,15 @@
-//! Connections to endpoints where there are more destinations than descriptors for them.
+//! Tests of the limit on connections to endpoints, with more destinations than the descriptors allow
+//! connections.
 mod peers;
 use peers::*;
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Descriptors of a sender that may have `CONNECTIONS` to endpoints of them.
+/// The limit of descriptors, of which the sender uses at most `MAX_CONNECTIONS` for connections to endpoints.
 const DESCRIPTORS: usize = 64;
-const CONNECTIONS: usize = 15;
+const MAX_CONNECTIONS: usize = 15;
 const DESTINATIONS: u64 = 60;
-/// Clients at once: fewer than the 20 places that such a sender has for them.
+/// Concurrent clients: fewer than the 20 connections that such a sender accepts.
 const CLIENTS: usize = 12;
 const EXPIRES_MS: u64 = 16_000;
 
@@ -17,7 +18,7 @@
     config["settings"]["FamilyInfo"]["CallsOut"] = json!(4);
 }
 
-/// A sender, and an endpoint for each of its destinations.
+/// Starts a sender and an endpoint for each of its destinations.
 fn sender_with_many_destinations() -> (Node, Vec<Peer>) {
     let endpoints: Vec<Peer> = (0..DESTINATIONS).map(|_| Peer::new(|_| ok())).collect();
     let listed: Vec<Value> =
@@ -28,40 +29,44 @@
     (node, endpoints)
 }
 
-fn take_on(node: &Node, dest: u64, id: &str) {
+/// Hands in a message and checks that it is accepted.
+fn hand_in_accepted(node: &Node, dest: u64, id: &str) {
     assert_eq!(node.hand_in("alert", id, dest, EXPIRES_MS, b"x"), 202, "{id}");
 }
 
+/// Hands in a message and returns the call that delivers it.
 fn deliver(node: &Node, endpoint: &Peer, dest: u64, id: &str) -> Request {
-    take_on(node, dest, id);
+    hand_in_accepted(node, dest, id);
     endpoint.wait_for(id, 1).remove(0)
 }
 
-/// Connections to endpoints that are open, as these see it.
-fn open(endpoints: &[Peer]) -> usize {
+/// Returns how many connections are open, as the endpoints see it.
+fn open_connections(endpoints: &[Peer]) -> usize {
     let open = |peer: &Peer| (0..peer.connections()).filter(|&number| !peer.has_ended(number)).count();
     endpoints.iter().map(open).sum()
 }
 
-/// Until the connection of an answer that has come stands in the pool.
-fn settle() {
+/// Waits until the connection of the last answer is back in the pool.
+fn wait_until_pooled() {
     std::thread::sleep(Duration::from_millis(20));
 }
 
 #[test]
-fn the_connection_that_stood_idle_longest_makes_room_and_no_message_is_refused() {
+fn longest_idle_connection_makes_room_for_new_one() {
     let (node, endpoints) = sender_with_many_destinations();
     for (dest, endpoint) in (0..).zip(&endpoints) {
         assert_eq!(deliver(&node, endpoint, dest, &format!("first-{dest}")).connection, 0);
-        settle();
+        wait_until_pooled();
         let used = dest as usize + 1;
-        node.until("room is made for no more than is needed", || open(&endpoints) == used.min(CONNECTIONS));
-        let kept = used.saturating_sub(CONNECTIONS);
+        node.until("only as many connections as needed are closed", || {
+            open_connections(&endpoints) == used.min(MAX_CONNECTIONS)
+        });
+        let closed_count = used.saturating_sub(MAX_CONNECTIONS);
         let closed: Vec<usize> = (0..used).filter(|&e| endpoints[e].has_ended(0)).collect();
-        assert_eq!(closed, (0..kept).collect::<Vec<_>>(), "those that stood idle longest are closed");
+        assert_eq!(closed, (0..closed_count).collect::<Vec<_>>(), "the longest idle ones are closed");
     }
-    // The youngest are used again; the others come on a new connection.
-    let newest = DESTINATIONS as usize - CONNECTIONS;
+    // The newest connections are reused; the first destination needs a new one.
+    let newest = DESTINATIONS as usize - MAX_CONNECTIONS;
     for (dest, endpoint) in (0..).zip(&endpoints).skip(newest) {
         assert_eq!(deliver(&node, endpoint, dest, &format!("again-{dest}")).connection, 0);
     }
@@ -71,7 +76,7 @@
 }
 
 #[test]
-fn a_burst_to_more_destinations_than_connections_is_delivered_whole() {
+fn burst_to_more_destinations_than_connections_is_delivered() {
     let (node, endpoints) = sender_with_many_destinations();
     let dests: Vec<u64> = (0..DESTINATIONS).collect();
     for round in 0..3 {
@@ -80,18 +85,20 @@
             for part in dests.chunks(DESTINATIONS as usize / CLIENTS) {
                 let (node, id) = (&node, &id);
                 scope.spawn(move || {
-                    part.iter().for_each(|&dest| take_on(node, dest, &id(dest)));
+                    part.iter().for_each(|&dest| hand_in_accepted(node, dest, &id(dest)));
                 });
             }
         });
         for (dest, endpoint) in (0..).zip(&endpoints) {
             endpoint.wait_for(&id(dest), 1);
         }
-        // An endpoint sees the end of a connection a little later than the sender.
-        node.until("no more are open than may be", || open(&endpoints) <= CONNECTIONS);
+        // An endpoint sees the end of a connection slightly later than the sender.
+        node.until("open connections are within the limit", || {
+            open_connections(&endpoints) <= MAX_CONNECTIONS
+        });
     }
     for (dest, endpoint) in endpoints.iter().enumerate() {
-        assert_eq!(endpoint.seen().len(), 3, "destination {dest} got each message once");
+        assert_eq!(endpoint.seen().len(), 3, "messages delivered to destination {dest}");
     }
     assert!(node.descriptors() <= DESCRIPTORS, "{}", node.descriptors());
     assert!(!node.log().contains("os error 24"), "{}", node.log());
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,6 @@
-//! What crosses a close, a shutdown or a silence on real sockets. Each crossing is forced: by a peer that is held,
-//! by bytes that are written before the other side may go on, or by a process that is paused.
+//! Tests of races between a request or answer and a close, a shutdown or a silent peer, on real sockets. Each
+//! race is forced: by a peer that does not answer, by bytes written before the other side may go on, or by a
+//! paused process.
 mod peers;
 use peers::*;
 use serde_json::{json, Value};
@@ -14,8 +15,8 @@
     stream
 }
 
-/// A connection on which one request was answered and nothing is under way.
-fn resting(node: &Node) -> TcpStream {
+/// Opens a connection and leaves it idle after one request was answered on it.
+fn idle_connection(node: &Node) -> TcpStream {
     let mut stream = connect(node);
     stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
     let answer = read_message(&mut BufReader::new(stream.try_clone().unwrap()), 0).unwrap();
@@ -23,45 +24,46 @@
     stream
 }
 
-fn answer_on(stream: &TcpStream) -> Option<Request> {
+fn read_answer(stream: &TcpStream) -> Option<Request> {
     read_message(&mut BufReader::new(stream.try_clone().unwrap()), 0)
 }
 
-/// The sender has ended its side, and has not reset the connection.
-fn ended(mut stream: &TcpStream) {
+/// Checks that the sender has closed its side, without a reset and without further bytes.
+fn assert_closed(mut stream: &TcpStream) {
     let mut rest = Vec::new();
     let read = stream.read_to_end(&mut rest);
     assert!(read.is_ok(), "{read:?}");
     assert!(rest.is_empty(), "{}", String::from_utf8_lossy(&rest));
 }
 
-/// One whose only call is never answered: a sender that is told to end has it out until its time is up.
-fn held() -> Peer {
+/// Starts an endpoint that never answers, so that a sender in shutdown has a call in flight until its time is
+/// up.
+fn silent_endpoint() -> Peer {
     Peer::new(|_| Reply::Hang)
 }
 
 #[test]
-fn a_request_half_read_at_the_shutdown_is_answered_while_who_comes_later_is_refused() {
-    let endpoint = held();
+fn shutdown_answers_half_read_requests_and_refuses_new_connections() {
+    let endpoint = silent_endpoint();
     let (_discovery, mut node) = one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "out", 7, 16_000, b"x"), 202);
     endpoint.wait_for("out", 1);
-    // One on a connection that rested, and one on a connection's first request.
-    let halves = [resting(&node), connect(&node)].map(|mut stream| {
+    // One is on a connection that was idle, the other is the first request of its connection.
+    let half_sent = [idle_connection(&node), connect(&node)].map(|mut stream| {
         let request =
             message("alert", &format!("half-{:?}", stream.local_addr().unwrap()), 7, 16_000, b"body");
         let (first, rest) = request.split_at(request.len() / 2);
         stream.write_all(first).unwrap();
         (stream, rest.to_vec())
     });
-    // Whatever was written before is read once this was answered.
-    let rests = resting(&node);
+    // Once this request has been answered, the sender has read all that was written before it.
+    let idle = idle_connection(&node);
     node.terminate();
-    ended(&rests);
-    node.until("the door is closed", || TcpStream::connect(node.address).is_err());
-    for (mut stream, rest) in halves {
+    assert_closed(&idle);
+    node.until("the listener is closed", || TcpStream::connect(node.address).is_err());
+    for (mut stream, rest) in half_sent {
         stream.write_all(&rest).unwrap();
-        let answer = answer_on(&stream).expect("an answer to what was read in part");
+        let answer = read_answer(&stream).expect("an answer to a request that was read in part");
         assert!(answer.first.contains(" 202 ") || answer.first.contains(" 503 "), "{}", answer.first);
         assert_eq!(
             answer.headers.get("connection").map(String::as_str),
@@ -69,22 +71,23 @@
             "{:?}",
             answer.headers
         );
-        ended(&stream);
+        assert_closed(&stream);
     }
     assert!(node.wait_exit().success(), "{}", node.log());
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_a_resting_connection_is_not_acted_on() {
+fn request_sent_after_close_of_idle_connection_is_ignored() {
     let endpoint = Peer::new(|_| ok());
     let (discovery, mut node) = one_endpoint(&endpoint);
-    let mut rests = resting(&node);
+    let mut idle = idle_connection(&node);
     node.terminate();
-    ended(&rests);
-    // Its client had not read the end yet. What it gets is the end and no answer, so it asks elsewhere.
-    rests.write_all(&message("alert", "crossed", 7, 16_000, b"x")).unwrap();
+    assert_closed(&idle);
+    // A client that has not read the close yet sends a request. It gets no answer, so it may send it
+    // elsewhere.
+    idle.write_all(&message("alert", "crossed", 7, 16_000, b"x")).unwrap();
     assert!(node.wait_exit().success());
-    assert!(answer_on(&rests).is_none());
+    assert!(read_answer(&idle).is_none());
     node.restart();
     settle(&node, &endpoint);
     assert!(endpoint.seen().iter().all(|r| r.id() != "crossed"));
@@ -92,53 +95,53 @@
 }
 
 #[test]
-fn what_had_connected_when_the_door_closes_is_answered() {
-    let endpoint = held();
+fn connections_queued_at_shutdown_are_answered() {
+    let endpoint = silent_endpoint();
     let discovery = Discovery::new(json!([ready("e-1", endpoint.address, 7)]));
     let control = free_address();
     let mut node = Node::with(&discovery, json!([]), |c| c["control"] = json!(control.to_string()));
     assert_eq!(node.hand_in("order", "out", 7, 16_000, b"x"), 202);
     endpoint.wait_for("out", 1);
     node.terminate();
-    node.until("the sender knows", || call_at(control, "GET /healthcheck") == Some(503));
-    // Paused over the moment in which it stops accepting: both are due when it goes on.
+    node.until("the sender is shutting down", || call_at(control, "GET /healthcheck") == Some(503));
+    // The process is paused while its time to stop accepting passes, so that connections are queued by then.
     node.pause();
-    let waiting: Vec<TcpStream> = (0..12)
+    let queued: Vec<TcpStream> = (0..12)
         .map(|i| {
             let mut stream = connect(&node);
-            stream.write_all(&message("alert", &format!("waits-{i}"), 7, 16_000, b"x")).unwrap();
+            stream.write_all(&message("alert", &format!("queued-{i}"), 7, 16_000, b"x")).unwrap();
             stream
         })
         .collect();
     std::thread::sleep(Duration::from_millis(700));
     node.go_on();
-    for stream in &waiting {
-        let answer = answer_on(stream).expect("an answer");
+    for stream in &queued {
+        let answer = read_answer(stream).expect("an answer");
         assert!(answer.first.contains(" 202 ") || answer.first.contains(" 503 "), "{}", answer.first);
     }
     assert!(node.wait_exit().success(), "{}", node.log());
 }
 
 #[test]
-fn an_answer_reaches_a_client_that_had_not_sent_all_when_it_was_given() {
+fn early_answer_reaches_client_that_is_still_sending() {
     let endpoint = Peer::new(|_| ok());
     let (_discovery, node) = one_endpoint(&endpoint);
     let mut stream = connect(&node);
     let size = 512 << 10;
     let head = format!("POST /alert HTTP/1.1\r\nHost: x\r\nContent-Length: {size}\r\n\r\n");
     stream.write_all(head.as_bytes()).unwrap();
-    // The answer has come before the body goes out, and is read after it.
+    // The answer arrives before the body is sent, and is read only afterwards.
     assert_eq!(stream.peek(&mut [0]).unwrap(), 1);
     for part in vec![b'x'; size].chunks(64 << 10) {
         stream.write_all(part).expect("the connection is not reset");
     }
-    let answer = answer_on(&stream).expect("an answer");
+    let answer = read_answer(&stream).expect("an answer");
     assert!(answer.first.contains(" 413 "), "{}", answer.first);
-    ended(&stream);
+    assert_closed(&stream);
 }
 
 #[test]
-fn a_flood_of_what_nobody_wants_is_cut_off() {
+fn endless_body_is_cut_off() {
     let endpoint = Peer::new(|_| ok());
     let (_discovery, node) = one_endpoint(&endpoint);
     let mut stream = connect(&node);
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn a_notice_whose_connection_has_fallen_silent_is_told_in_time_on_another_one() {
+fn notice_is_repeated_on_new_connection_if_old_one_is_silent() {
     let endpoint = Peer::new(|_| ok());
     let (discovery, node) = one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "before", 8, 300, b"x"), 202);
@@ -162,17 +165,18 @@
     let silent = posts(&discovery.peer.seen())[0].connection;
     discovery.peer.also(move |r| (r.connection == silent).then_some(Reply::Hang));
     assert_eq!(node.hand_in("order", "after", 8, 300, b"x"), 202);
-    let seen = discovery.peer.wait("the notice to come again", |seen| posts(seen).len() >= 3);
+    let seen = discovery.peer.wait("the notice to be repeated", |seen| posts(seen).len() >= 3);
     let posts = posts(&seen);
     assert_eq!((posts[1].connection, posts[2].connection == silent), (silent, false));
     assert_eq!(posts[1].body, posts[2].body);
-    // What counts is 300 ms from the message's time; the half of a second leaves room for a busy machine.
+    // A notice counts up to 300 ms after its message's deadline; half a second leaves room for a busy
+    // machine.
     let late = posts[2].at - posts[1].at;
     assert!(late < Duration::from_millis(500), "{late:?}");
 }
 
-/// Calls for lists, in their order.
-fn lists(seen: &[Request]) -> Vec<Request> {
+/// Returns the calls for lists in their order.
+fn list_calls(seen: &[Request]) -> Vec<Request> {
     seen.iter().filter(|r| r.first.contains("/v1/servers")).cloned().collect()
 }
 
@@ -182,11 +186,12 @@
 }
 
 #[test]
-fn after_calls_to_discovery_that_failed_news_are_heard_before_they_count_as_told() {
+fn next_call_to_discovery_comes_in_time_after_failures() {
     let endpoint = Peer::new(|_| ok());
     let known = json!([ready("e-1", endpoint.address, 7)]);
     let discovery = Discovery::new(known.clone());
-    // Each way to fail, in a row: turned away, broken off in the middle of a list, torn, closed without a word.
+    // Four failures in turn: a rejected call, a list cut by a close, invalid JSON, and a close without an
+    // answer.
     let fail = |n: usize| match n % 4 {
         0 => answer("503 Busy", "", ""),
         1 => Reply::Last("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"generation\"".into()),
@@ -197,7 +202,7 @@
     discovery.peer.also(move |r| {
         let watch = r.first.contains("/v1/servers") && !r.first.contains("wait=0 ");
         let count = failed.load(Ordering::SeqCst);
-        // From the first watch on.
+        // Calls fail from the first watch on, eight in all.
         if !(watch || (1..8).contains(&count)) || count >= 8 || r.first.starts_with("POST") {
             return None;
         }
@@ -205,36 +210,41 @@
         Some(fail(count))
     });
     let _node = Node::with(&discovery, known, large_fleet);
-    let seen = discovery.peer.wait("ten calls for lists", |seen| lists(seen).len() >= 10);
-    let calls = lists(&seen);
+    let seen = discovery.peer.wait("ten calls for lists", |seen| list_calls(seen).len() >= 10);
+    let calls = list_calls(&seen);
     for (i, pair) in calls[1..].windows(2).enumerate() {
-        // Told 6 s later; 2.5 s of them may go on a call that is given up, so what is left is for the pause.
+        // A change must be known within 6 s. A call may take 2.5 s of them to time out; the rest is for the
+        // pause.
         let pause = pair[1].at - pair[0].at;
         assert!(pause <= Duration::from_millis(3_400), "{i}: {pause:?}");
-        assert!(pair[1].first.contains("wait=0 "), "{i}: asked for, not waited for: {}", pair[1].first);
+        assert!(
+            pair[1].first.contains("wait=0 "),
+            "{i}: expected a call for an immediate answer: {}",
+            pair[1].first
+        );
     }
 }
 
 #[test]
-fn changes_that_come_where_the_whole_list_is_asked_for_are_not_asked_for_in_a_rush() {
+fn changes_instead_of_whole_list_do_not_cause_rapid_retries() {
     let discovery = Discovery::new(json!([]));
     discovery.peer.also(|r| {
         let whole = r.first.contains("/v1/servers ");
         whole.then(|| answer("200 OK", "", r#"{"generation": 3, "reset": false, "instances": []}"#))
     });
     let node = Node::started(&discovery, json!([]), large_fleet);
-    node.until("it listens", || node.health().is_some());
-    // It never gets a list that it can use, so that nobody is to use it.
+    node.until("the sender listens", || node.health().is_some());
+    // It never gets a usable list, so it must not report itself healthy.
     assert_eq!(node.health(), Some(503));
-    let calls = lists(&discovery.peer.wait("seven calls for lists", |seen| lists(seen).len() >= 7));
+    let calls = list_calls(&discovery.peer.wait("seven calls for lists", |seen| list_calls(seen).len() >= 7));
     let mean = (calls[6].at - calls[0].at) / 6;
-    assert!(mean > Duration::from_millis(300), "one each {mean:?}");
+    assert!(mean > Duration::from_millis(300), "a call every {mean:?}");
 }
 
 #[test]
-fn clients_that_fill_the_descriptors_leave_those_that_the_sender_needs_itself() {
-    // Calls are out as well, and their endpoints keep them.
-    let endpoints: Vec<Peer> = (0..5).map(|_| held()).collect();
+fn clients_cannot_use_up_descriptors_that_the_sender_needs() {
+    // Calls in flight use descriptors as well: these endpoints never answer.
+    let endpoints: Vec<Peer> = (0..5).map(|_| silent_endpoint()).collect();
     let new = Peer::new(|_| ok());
     let listed: Vec<Value> =
         (0..).zip(&endpoints).map(|(i, e)| ready(&format!("e-{i}"), e.address, i)).collect();
@@ -247,8 +257,9 @@
         });
         node.limit_descriptors(sockets);
         discovery.silence();
-        // Idle ones, strangers that send nothing, and some in the middle of a request.
-        let mut crowd = Vec::new();
+        // A third of the connections is idle, a third in the middle of a request, and a third has sent
+        // nothing.
+        let mut client_connections = Vec::new();
         for i in 0..2 * sockets {
             let Ok(mut stream) = TcpStream::connect(node.address) else { break };
             let part: &[u8] = match i % 3 {
@@ -257,18 +268,18 @@
                 _ => b"",
             };
             let _ = stream.write_all(part);
-            crowd.push(stream);
+            client_connections.push(stream);
         }
         for (dest, endpoint) in (0..).zip(&endpoints) {
             let id = format!("{sockets}-{dest}");
             assert_eq!(node.hand_in("alert", &id, dest, 16_000, b"x"), 202);
             endpoint.wait_for(&id, 1);
         }
-        // A message that has no place to go is told of while discovery is down.
+        // Notices are sent while discovery is down, for a message whose destination is not listed.
         assert_eq!(node.hand_in("order", &format!("nowhere-{sockets}"), 99, 300, b"x"), 202);
         assert_eq!(discovery.wait_notice(&format!("nowhere-{sockets}"))["outcome"], "handed_back");
         assert_eq!(call_at(control, "PUT /endpoints/e-0/maint"), Some(200));
-        // Discovery is back, with one more.
+        // Discovery is back, and its list has one more endpoint.
         let mut all = listed.clone();
         all.push(ready("new", new.address, 50));
         discovery.speak();
@@ -278,18 +289,18 @@
         new.wait_for(&id, 1);
         assert!(!node.log().contains("os error 24"), "{}", node.log());
         assert!(node.descriptors() <= sockets, "{} of {sockets}", node.descriptors());
-        drop(crowd);
+        drop(client_connections);
         discovery.set(json!(listed));
     }
 }
 
 #[test]
-fn a_call_whose_answer_hangs_or_never_ends_is_over_in_time() {
+fn call_ends_in_time_if_its_answer_stalls_or_never_ends() {
     let endless = || "X-More: and more\r\n".repeat(100_000);
     let rows: [(Row, bool); 4] = [
         (("half a status line", || Reply::Bytes("HTTP/1.1 50".into())), false),
         (("half of the headers", || Reply::Bytes("HTTP/1.1 500 Error\r\nContent-".into())), false),
-        // Known for delivered as its time is up: a notice goes out too.
+        // Known as delivered only when the message's time is up, so a notice is sent as well.
         (("half of the headers of a 200", || Reply::Bytes("HTTP/1.1 200 OK\r\nContent-".into())), false),
         (
             ("a body without its end", || {
@@ -303,15 +314,15 @@
         let (discovery, node) = one_endpoint(&endpoint);
         assert_eq!(node.hand_in("order", "m", 7, 900, b"x"), 202);
         let call = endpoint.wait_for("m", 1).remove(0);
-        // It holds no slot and no connection any longer than that.
+        // From then on the call holds no slot and no connection.
         node.until("the call is over", || endpoint.has_ended(call.connection));
         assert_eq!(node.hand_in("order", "next", 7, 16_000, b"x"), 202);
         endpoint.wait_for("next", 1);
         if !in_time {
             assert_eq!(discovery.wait_notice("m")["outcome"], "given_up", "{row}");
         }
-        assert_eq!(endpoint.wait_for("m", 1).len(), 1, "{row}: it may have run");
-        // Whatever goes to the platform goes in turn.
+        assert_eq!(endpoint.wait_for("m", 1).len(), 1, "{row}: it may have run, so it is not repeated");
+        // Notices are sent in order: once this one has arrived, no earlier one is missing.
         assert_eq!(node.hand_in("order", "last", 9, 300, b"x"), 202);
         discovery.wait_notice("last");
         assert_eq!(discovery.notices().iter().all(|n| n["message"] != "m"), in_time, "{row}");
@@ -322,14 +333,14 @@
     });
     let (discovery, node) = one_endpoint(&endpoint);
     assert_eq!(node.hand_in("order", "m", 7, 16_000, b"x"), 202);
-    // Long before its time: headers are not read without end.
+    // Reading endless headers stops long before the message's deadline.
     assert_eq!(discovery.wait_notice("m")["outcome"], "given_up");
     assert_eq!(node.hand_in("order", "next", 7, 16_000, b"x"), 202);
     endpoint.wait_for("next", 1);
 }
 
 #[test]
-fn half_a_line_that_follows_an_answer_is_no_answer_to_the_next_call() {
+fn bytes_after_an_answer_are_not_taken_for_the_next_answer() {
     let endpoint = Peer::new(|r| match r.id() {
         "first" => Reply::Bytes("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 4".into()),
         _ => ok(),
@@ -338,7 +349,8 @@
     for round in 0..5 {
         assert_eq!(node.hand_in("order", "first", 7, 16_000, b"x"), 202);
         let first = endpoint.wait_for("first", round + 1).remove(round);
-        // An unsafe one: on that connection it would be lost, and may not be sent again.
+        // Messages of this class are unsafe: on the same connection this one would be lost and could not be
+        // repeated.
         let next = format!("next-{round}");
         assert_eq!(node.hand_in("order", &next, 7, 16_000, b"x"), 202);
         assert_ne!(endpoint.wait_for(&next, 1)[0].connection, first.connection);
@@ -347,11 +359,11 @@
 }
 
 #[test]
-fn all_that_a_restart_finds_untried_is_called_for() {
+fn untried_messages_are_delivered_after_restart() {
     let endpoint = Peer::new(|_| ok());
     let discovery = Discovery::new(json!([]));
     let mut node = Node::start(&discovery);
-    // None can be called for yet, and they nearly fill the room.
+    // No message has an endpoint yet, and together they nearly reach the limit of open messages.
     let ids: Vec<String> = (0..80).map(|i| format!("m{i}")).collect();
     for (i, id) in ids.iter().enumerate() {
         let class = if i % 2 == 0 { "alert" } else { "order" };
@@ -367,48 +379,54 @@
 }
 
 #[test]
-fn requests_that_lie_of_their_length_or_break_off_are_not_taken_on_and_hold_nobody_up() {
+fn malformed_and_truncated_requests_are_rejected_without_delaying_others() {
     let endpoint = Peer::new(|_| ok());
     let (_discovery, node) = one_endpoint(&endpoint);
     let whole = String::from_utf8(message("alert", "lies", 7, 9_000, b"body")).unwrap();
     let longer = whole.replace("Content-Length: 4", "Content-Length: 400");
     let signed = whole.replace("Content-Length: 4", "Content-Length: -4");
     let twice = whole.replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5");
-    let lines = "POST /alert HTTP/1.1\r\n".to_string() + &"X: y\r\n".repeat(50_000);
-    let held: Vec<TcpStream> = [longer, signed, twice, lines, "\r\n".repeat(1_000), "\0".repeat(9_000)]
-        .iter()
-        .map(|bytes| {
-            let mut stream = connect(&node);
-            // It may be closed on them before all is written.
-            let _ = stream.write_all(bytes.as_bytes());
-            let _ = stream.shutdown(std::net::Shutdown::Write);
-            stream
-        })
-        .collect();
-    // While those are open others are served.
+    let many_headers = "POST /alert HTTP/1.1\r\n".to_string() + &"X: y\r\n".repeat(50_000);
+    let streams: Vec<TcpStream> =
+        [longer, signed, twice, many_headers, "\r\n".repeat(1_000), "\0".repeat(9_000)]
+            .iter()
+            .map(|bytes| {
+                let mut stream = connect(&node);
+                // The sender may close the connection before everything is written.
+                let _ = stream.write_all(bytes.as_bytes());
+                let _ = stream.shutdown(std::net::Shutdown::Write);
+                stream
+            })
+            .collect();
+    // Others are served while those connections are open.
     assert_eq!(node.hand_in("alert", "settle", 7, 16_000, b"."), 202);
     endpoint.wait_for("settle", 1);
-    for mut stream in held {
-        let mut told = Vec::new();
-        // A reset is a close as well.
-        let _ = stream.read_to_end(&mut told);
-        assert!(told.is_empty() || told.starts_with(b"HTTP/1.1 4"), "{}", String::from_utf8_lossy(&told));
+    for mut stream in streams {
+        let mut answer = Vec::new();
+        // A reset counts as a close.
+        let _ = stream.read_to_end(&mut answer);
+        assert!(
+            answer.is_empty() || answer.starts_with(b"HTTP/1.1 4"),
+            "{}",
+            String::from_utf8_lossy(&answer)
+        );
     }
     assert_eq!(endpoint.seen().len(), 1);
 }
 
 #[test]
-fn a_200_so_close_to_the_end_of_its_message_s_time_does_not_stand_for_the_notice() {
+fn notice_is_sent_for_delivery_just_before_deadline() {
     let endpoint = Peer::new(|_| ok());
     let (discovery, mut node) = one_endpoint(&endpoint);
-    // Its client may have waited 400 ms to be told that it is taken on: its time may be up when this is answered.
+    // The client may have waited up to 400 ms for its answer, so the message's time may be up when the call
+    // is answered.
     assert_eq!(node.hand_in("order", "close", 7, 350, b"x"), 202);
     endpoint.wait_for("close", 1);
     assert_eq!(discovery.wait_notice("close")["outcome"], "given_up");
     assert_eq!(node.hand_in("order", "in time", 7, 16_000, b"x"), 202);
     endpoint.wait_for("in time", 1);
     settle(&node, &endpoint);
-    // Both are over for the next process as well.
+    // Both messages are done for the next process as well.
     node.kill();
     node.restart();
     assert_eq!(node.hand_in("order", "last", 9, 300, b"x"), 202);
