--- a/src/bin/sender/client.rs
+++ b/src/bin/sender/client.rs
@@ -12,8 +12,8 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::CONNECTION;
 use hyper::Request;
+pub use outcome::{attempt_end, member_end};
 use outcome::{attempt_ends, load_report, outcome_of_status, retry_after, Answer};
-pub use outcome::{end, end_of};
 use pool::Pool;
 use sender::api::{AttemptEnd, EndpointId, LimitReport, Ns, Outcome, MS};
 use sender::records::Taken;
@@ -34,20 +34,20 @@
 const STALE_RESET_TIME: Duration = Duration::from_millis(20);
 
 /// A message's part in a call.
-pub struct Member {
+pub struct CallMember {
     /// The number of the attempt.
     pub attempt: u32,
-    pub taken: Rc<Taken>,
+    pub message: Rc<Taken>,
     /// The message's deadline.
-    pub end: Instant,
-    /// When this attempt is given up; not after `end`.
-    pub limit: Instant,
+    pub deadline: Instant,
+    /// When this attempt is given up; not after `deadline`.
+    pub attempt_deadline: Instant,
     /// The time before which its first byte must be written.
-    pub by: Instant,
+    pub send_before: Instant,
 }
 
 /// Makes calls and probes to endpoints, and keeps idle connections to them.
-pub struct Client {
+pub struct EndpointClient {
     core: mpsc::Sender<Input>,
     directory: Rc<Directory>,
     connect_timeout: Duration,
@@ -60,7 +60,7 @@
     blocked_until: RefCell<HashMap<Route, Instant>>,
 }
 
-impl Client {
+impl EndpointClient {
     /// Creates a client with a timeout for connecting, the time after which endpoints close idle connections,
     /// and a limit of open connections.
     pub fn new(
@@ -69,11 +69,11 @@
         connect_timeout: Ns,
         idle_close: Ns,
         max_open: usize,
-    ) -> Client {
+    ) -> EndpointClient {
         // Idle connections are closed well before the endpoint does so: a request that is written to a
         // connection which the endpoint has closed is answered by a reset.
         let max_idle = Duration::from_nanos((idle_close.max(0) as f64 * 0.9) as u64);
-        Client {
+        EndpointClient {
             core,
             directory,
             connect_timeout: Duration::from_nanos(connect_timeout.max(MS) as u64),
@@ -86,14 +86,14 @@
 
     /// Closes idle connections to endpoints that are no longer listed as ready, or are listed at another
     /// address.
-    pub fn follow_list(&self) {
+    pub fn close_outdated_connections(&self) {
         self.pool.close_outdated(|endpoint| Some(self.directory.ready_place(endpoint)?.address));
     }
 
-    /// Takes an endpoint out for maintenance (`out`) or puts it back. Either way its idle connections are
+    /// Takes an endpoint out for maintenance or puts it back. Either way its idle connections are
     /// closed, as the endpoint is likely to be restarted.
-    pub fn take_out(&self, endpoint: EndpointId, out: bool) {
-        if out {
+    pub fn set_maintenance(&self, endpoint: EndpointId, in_maintenance: bool) {
+        if in_maintenance {
             self.in_maintenance.borrow_mut().insert(endpoint);
         } else {
             self.in_maintenance.borrow_mut().remove(&endpoint);
@@ -109,13 +109,13 @@
 
     /// Stops making new calls and returns the learned idle bounds for the next process. Calls that are still
     /// connecting end as not sent, idle connections are closed, and calls that have been written go on.
-    pub fn freeze(&self) -> Keeps {
+    pub fn stop_new_calls(&self) -> Keeps {
         self.stopped.set(true);
         self.pool.close_all()
     }
 
     /// Restores the idle bounds that the previous process had learned.
-    pub fn thaw(&self, keeps: Keeps) {
+    pub fn restore_idle_bounds(&self, keeps: Keeps) {
         self.pool.restore_idle_bounds(keeps);
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Regularly closes expired idle connections and removes expired waits. Never returns.
-    pub async fn keep_pool(self: Rc<Self>) {
+    pub async fn maintain_pool(self: Rc<Self>) {
         let mut every = tokio::time::interval(Duration::from_millis(100));
         loop {
             every.tick().await;
@@ -135,7 +135,7 @@
     }
 
     /// Returns whether any endpoint may be called.
-    pub fn has_usable(&self) -> bool {
+    pub fn has_callable_endpoint(&self) -> bool {
         let in_maintenance = self.in_maintenance.borrow();
         let ready_in_maintenance =
             in_maintenance.iter().filter(|&&endpoint| self.directory.ready_place(endpoint).is_some()).count();
@@ -189,7 +189,7 @@
     }
 
     /// Carries out one call of the decision module and reports how each of its attempts ended.
-    pub async fn call(self: Rc<Self>, endpoint: EndpointId, members: Vec<Member>, cancel: Rc<Cancel>) {
+    pub async fn call(self: Rc<Self>, endpoint: EndpointId, members: Vec<CallMember>, cancel: Rc<Cancel>) {
         let started = Instant::now();
         // The messages of one call may exceed the limit of a body; then they are sent in several requests in
         // turn.
@@ -202,16 +202,17 @@
     async fn exchange(
         &self,
         endpoint: EndpointId,
-        mut members: Vec<Member>,
+        mut members: Vec<CallMember>,
         cancel: &Cancel,
         started: Instant,
     ) {
-        let ended_as = |outcome| move |m: &Member| end(m, endpoint, outcome, started);
+        let ended_as = |outcome| move |m: &CallMember| member_end(m, endpoint, outcome, started);
         // An attempt whose message could be tried again must not stay open after its limit, as the next
         // attempt would be a second copy: the call is closed for all its messages at the earliest such limit.
         // A message that has reached its deadline leaves the call alone.
-        let retry_limit = members.iter().filter(|m| m.limit < m.end).map(|m| m.limit).min();
-        let close_at = retry_limit.or(members.iter().map(|m| m.end).max()).unwrap_or(started);
+        let retry_limit =
+            members.iter().filter(|m| m.attempt_deadline < m.deadline).map(|m| m.attempt_deadline).min();
+        let close_at = retry_limit.or(members.iter().map(|m| m.deadline).max()).unwrap_or(started);
         let (connection, answer) = loop {
             let connected = tokio::select! {
                 biased;
@@ -227,8 +228,9 @@
             // been blocked, or a message's time to be sent may have passed.
             let now = Instant::now();
             let place = self.writable_place(endpoint, &connection);
-            let (sendable, not_sent): (Vec<_>, Vec<_>) =
-                members.into_iter().partition(|m| place.is_some() && now < m.by && now < m.end.min(close_at));
+            let (sendable, not_sent): (Vec<_>, Vec<_>) = members
+                .into_iter()
+                .partition(|m| place.is_some() && now < m.send_before && now < m.deadline.min(close_at));
             members = sendable;
             self.report(not_sent.iter().map(ended_as(Outcome::NotSent)).collect()).await;
             let Some(place) = place.filter(|_| !members.is_empty()) else {
@@ -239,7 +241,7 @@
             let answer = {
                 let mut answer = pin!(self.await_answer(&mut connection, request, place.route, is_batch));
                 loop {
-                    let next = members.iter().map(|m| m.end).min().unwrap_or(close_at).min(close_at);
+                    let next = members.iter().map(|m| m.deadline).min().unwrap_or(close_at).min(close_at);
                     tokio::select! {
                         biased;
                         answer = &mut answer => break Ok(answer),
@@ -248,7 +250,7 @@
                     }
                     let now = Instant::now();
                     let (late, on_time): (Vec<_>, Vec<_>) =
-                        members.into_iter().partition(|m| now >= m.end || now >= close_at);
+                        members.into_iter().partition(|m| now >= m.deadline || now >= close_at);
                     members = on_time;
                     if members.is_empty() {
                         break Err((late, Outcome::NoAnswer));
@@ -381,11 +383,11 @@
 }
 
 /// Splits the messages of a call so that the body of each request stays under `MAX_BODY`.
-fn split_by_body_size(members: Vec<Member>) -> Vec<Vec<Member>> {
-    let mut batches: Vec<Vec<Member>> = Vec::new();
+fn split_by_body_size(members: Vec<CallMember>) -> Vec<Vec<CallMember>> {
+    let mut batches: Vec<Vec<CallMember>> = Vec::new();
     let mut size = 0;
     for member in members {
-        let t = &member.taken;
+        let t = &member.message;
         let texts = t.trace.len() + t.key.as_ref().map_or(0, String::len);
         // The length in base64, and an upper bound for the rest of the JSON object with its texts escaped.
         let entry_size = t.body.len().div_ceil(3) * 4 + 2 * texts + 40;
@@ -402,27 +404,27 @@
 }
 
 /// Builds the request of a call: the message's own body for one message, a JSON list for several.
-fn build_request(members: &[Member], to: SocketAddr, time_left: Duration) -> Request<Full<Bytes>> {
+fn build_request(members: &[CallMember], to: SocketAddr, time_left: Duration) -> Request<Full<Bytes>> {
     let time_left = time_left.as_millis().max(1).to_string();
     let mut headers = vec![("x-expires-in-ms", time_left.as_str())];
     let [only] = members else {
         let list: Vec<Value> = members
             .iter()
             .map(|m| {
-                let body = base64::engine::general_purpose::STANDARD.encode(&m.taken.body);
-                match &m.taken.key {
-                    Some(key) => json!({"id": m.taken.trace, "key": key, "body": body}),
-                    None => json!({"id": m.taken.trace, "body": body}),
+                let body = base64::engine::general_purpose::STANDARD.encode(&m.message.body);
+                match &m.message.key {
+                    Some(key) => json!({"id": m.message.trace, "key": key, "body": body}),
+                    None => json!({"id": m.message.trace, "body": body}),
                 }
             })
             .collect();
         headers.push(("content-type", "application/json"));
         return request("POST", "/v1/messages:batch", to, &headers, Value::from(list).to_string().into());
     };
-    let taken = &only.taken;
-    headers.push(("x-trace-id", &taken.trace));
-    if let Some(key) = &taken.key {
+    let message = &only.message;
+    headers.push(("x-trace-id", &message.trace));
+    if let Some(key) = &message.key {
         headers.push(("idempotency-key", key));
     }
-    request("POST", "/v1/messages", to, &headers, taken.body.clone())
+    request("POST", "/v1/messages", to, &headers, message.body.clone())
 }
--- a/src/bin/sender/client/outcome.rs
+++ b/src/bin/sender/client/outcome.rs
@@ -1,5 +1,5 @@
 //! Interprets an endpoint's answer: the outcome of each message of the call, and the endpoint's load report.
-use super::Member;
+use super::CallMember;
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, RETRY_AFTER};
@@ -20,12 +20,18 @@
 }
 
 /// Returns the end of a call member's attempt, from the time at which the call started.
-pub fn end(m: &Member, endpoint: EndpointId, outcome: Outcome, started: Instant) -> AttemptEnd {
-    end_of(m.taken.id, m.attempt, endpoint, outcome, started)
+pub fn member_end(m: &CallMember, endpoint: EndpointId, outcome: Outcome, started: Instant) -> AttemptEnd {
+    attempt_end(m.message.id, m.attempt, endpoint, outcome, started)
 }
 
 /// Returns the end of an attempt that started at the given time, without what only an answer can tell.
-pub fn end_of(id: u64, attempt: u32, endpoint: EndpointId, outcome: Outcome, started: Instant) -> AttemptEnd {
+pub fn attempt_end(
+    id: u64,
+    attempt: u32,
+    endpoint: EndpointId,
+    outcome: Outcome,
+    started: Instant,
+) -> AttemptEnd {
     let done = outcome == Outcome::Served;
     let took = started.elapsed().as_nanos() as Ns;
     AttemptEnd { id, attempt, endpoint, outcome, took, done, retry_after: 0, report: None }
@@ -48,7 +54,7 @@
 
 /// Returns how the attempt of each message of a call ended, by the call's answer.
 pub fn attempt_ends(
-    members: &[Member],
+    members: &[CallMember],
     answer: &Answer,
     endpoint: EndpointId,
     started: Instant,
@@ -60,7 +66,7 @@
     let text = |v: &Value, key: &str| v.get(key).and_then(Value::as_str).map(str::to_string);
     let states: Option<HashMap<String, String>> =
         entries.map(|l| l.iter().filter_map(|v| Some((text(v, "id")?, text(v, "state")?))).collect());
-    let outcome_of = |m: &Member| {
+    let outcome_of = |m: &CallMember| {
         let Some(states) = &states else {
             return match outcome_of_status(answer.status, &answer.headers) {
                 // Any one message of a batch may be the malformed one; the others are not given up because of
@@ -69,7 +75,7 @@
                 other => other,
             };
         };
-        match states.get(&m.taken.trace).map(String::as_str) {
+        match states.get(&m.message.trace).map(String::as_str) {
             Some("done") => (Outcome::Served, true),
             Some("busy") => (Outcome::TurnedAway, false),
             Some("void") => (Outcome::NotSent, true),
@@ -78,11 +84,11 @@
             _ => (Outcome::ServerError, false),
         }
     };
-    let attempt_end = |m: &Member| {
+    let to_end = |m: &CallMember| {
         let (outcome, done) = outcome_of(m);
-        AttemptEnd { done, retry_after: wait, report, ..end(m, endpoint, outcome, started) }
+        AttemptEnd { done, retry_after: wait, report, ..member_end(m, endpoint, outcome, started) }
     };
-    members.iter().map(attempt_end).collect()
+    members.iter().map(to_end).collect()
 }
 
 /// Parses `Retry-After` in seconds, with or without decimals; None if it is not between 0 and a day.
--- a/src/bin/sender/control.rs
+++ b/src/bin/sender/control.rs
@@ -3,7 +3,7 @@
 //! One call a connection, with few places of its own: a caller that finishes nothing loses its place to the
 //! next one, so that it keeps nobody out. The core answers; nothing is decided here.
 use crate::input::{Change, Input};
-use crate::server::{plain, wrong_method};
+use crate::server::{method_not_allowed, text_response};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -107,44 +107,44 @@
     ) -> Result<Response<Full<Bytes>>, Response<Full<Bytes>>> {
         let (head, body) = request.into_parts();
         if head.headers.get_all(HOST).iter().count() != 1 {
-            return Err(plain(StatusCode::BAD_REQUEST, "one Host is needed\n"));
+            return Err(text_response(StatusCode::BAD_REQUEST, "one Host is needed\n"));
         }
         if head.headers.contains_key(TRANSFER_ENCODING) && head.headers.contains_key(CONTENT_LENGTH) {
-            return Err(plain(StatusCode::BAD_REQUEST, "the body has two lengths\n"));
+            return Err(text_response(StatusCode::BAD_REQUEST, "the body has two lengths\n"));
         }
         // Read to its end, or the close after the answer could reset the connection and take the answer along.
         if Limited::new(body, MAX_BODY).collect().await.is_err() {
-            return Err(plain(StatusCode::BAD_REQUEST, "the body is too long or can't be read\n"));
+            return Err(text_response(StatusCode::BAD_REQUEST, "the body is too long or can't be read\n"));
         }
         caller.whole.set(true);
         let path: Vec<&str> = head.uri.path().split('/').skip(1).collect();
         match path[..] {
             ["healthcheck"] if matches!(head.method, Method::GET | Method::HEAD) => Ok(self.health().await),
-            ["healthcheck"] => Err(wrong_method("GET, HEAD")),
+            ["healthcheck"] => Err(method_not_allowed("GET, HEAD")),
             ["endpoints", name, change @ ("maint" | "ready")] if !name.is_empty() => {
                 if head.method != Method::PUT {
-                    return Err(wrong_method("PUT"));
+                    return Err(method_not_allowed("PUT"));
                 }
                 Ok(self.maint(name, change == "maint").await)
             }
-            _ => Err(plain(StatusCode::NOT_FOUND, "no such call\n")),
+            _ => Err(text_response(StatusCode::NOT_FOUND, "no such call\n")),
         }
     }
 
     async fn health(&self) -> Response<Full<Bytes>> {
         let (reply, ready) = oneshot::channel();
         match self.ask(Input::Health(reply), ready).await {
-            Some(true) if self.serving.get() => plain(StatusCode::OK, "ready\n"),
-            _ => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            Some(true) if self.serving.get() => text_response(StatusCode::OK, "ready\n"),
+            _ => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         }
     }
 
     async fn maint(&self, name: &str, out: bool) -> Response<Full<Bytes>> {
         let (reply, done) = oneshot::channel();
         match self.ask(Input::Maint { name: name.to_string(), out, reply }, done).await {
-            Some(Change::Done) => plain(StatusCode::OK, if out { "maint\n" } else { "ready\n" }),
-            Some(Change::Unknown) => plain(StatusCode::NOT_FOUND, "no such endpoint\n"),
-            Some(Change::NotKept) | None => plain(StatusCode::SERVICE_UNAVAILABLE, "can't be kept\n"),
+            Some(Change::Done) => text_response(StatusCode::OK, if out { "maint\n" } else { "ready\n" }),
+            Some(Change::Unknown) => text_response(StatusCode::NOT_FOUND, "no such endpoint\n"),
+            Some(Change::NotKept) | None => text_response(StatusCode::SERVICE_UNAVAILABLE, "can't be kept\n"),
         }
     }
 
--- a/src/bin/sender/core.rs
+++ b/src/bin/sender/core.rs
@@ -1,5 +1,5 @@
 //! The one owner of the module: events in, one round of decisions, actions out. It decides nothing itself.
-use crate::client::{self, Client, Member};
+use crate::client::{self, CallMember, EndpointClient};
 use crate::config::Config;
 use crate::directory::Directory;
 use crate::first_catalogue::FirstCatalogue;
@@ -79,7 +79,7 @@
     maint: Maint,
     learned: Option<Learned>,
     seed: u64,
-    client: Rc<Client>,
+    client: Rc<EndpointClient>,
     inbox: mpsc::Receiver<Input>,
     /// What has come by the second address; it goes before the inbox, however much waits there.
     asks: mpsc::Receiver<Input>,
@@ -134,7 +134,7 @@
         config: Config,
         journal: Journal<F>,
         maint: Maint,
-        (directory, client): (Rc<Directory>, Rc<Client>),
+        (directory, client): (Rc<Directory>, Rc<EndpointClient>),
         inbox: mpsc::Receiver<Input>,
         asks: mpsc::Receiver<Input>,
         notices: mpsc::UnboundedSender<Notice>,
@@ -184,7 +184,7 @@
     pub fn start(&mut self, known: Catalogue, state: Option<State>) -> Start {
         let handed = state.and_then(|state| self.take_over(state));
         let (first, unended) = match handed {
-            Some((numbered, unended)) => (FirstCatalogue::handed_over(&numbered, known), Some(unended)),
+            Some((numbered, unended)) => (FirstCatalogue::after_handover(&numbered, known), Some(unended)),
             None => (self.take_up_learned(known), None),
         };
         self.partial = first.is_partial();
@@ -204,7 +204,7 @@
         self.next_id = self.next_id.max(state.next_id);
         let calls = state.calls.into_iter().map(|(id, n, endpoint)| ((id, n), endpoint));
         self.calls = calls.map(|(call, endpoint)| (call, Out { endpoint, cancel: Rc::default() })).collect();
-        self.client.thaw(state.keeps);
+        self.client.restore_idle_bounds(state.keeps);
         Some((state.numbered, state.held))
     }
 
@@ -216,11 +216,11 @@
     /// Goes on with what a process that was killed had learned, if that was kept.
     fn take_up_learned(&mut self, known: Catalogue) -> FirstCatalogue {
         let Some(kept) = self.learned.as_ref().and_then(|l| l.read(wall_ns())) else {
-            return FirstCatalogue::known(known);
+            return FirstCatalogue::from_known_list(known);
         };
         self.sender = kept.module.after_restart(self.settings.clone(), self.seed);
         self.go_on_from(kept.clock);
-        FirstCatalogue::restarted(&kept.numbers.endpoints, kept.numbers.next_id, known)
+        FirstCatalogue::after_restart(&kept.numbers.endpoints, kept.numbers.next_id, known)
     }
 
     fn keep_learned(&mut self) {
@@ -407,7 +407,7 @@
             held: self.held.iter().map(|(&id, held)| (id, (held.end, held.attempts))).collect(),
             calls: self.calls.iter().map(|(&(id, attempt), out)| (id, attempt, out.endpoint)).collect(),
             next_id: self.next_id,
-            keeps: self.client.freeze(),
+            keeps: self.client.stop_new_calls(),
         };
         drop(self.journal);
         let _ = reply.send(Some(state));
@@ -437,7 +437,7 @@
             if self.operated.insert(name.clone(), endpoint) == Some(endpoint) {
                 continue;
             }
-            self.client.take_out(endpoint, back.is_none());
+            self.client.set_maintenance(endpoint, back.is_none());
             events.push(Event::Maint { endpoint, out: true, at: now });
             if let Some(back) = back {
                 let ago = (wall - back).max(0).saturating_mul(MS).min(CLOCK_START);
@@ -459,7 +459,7 @@
                 // One that has left the list may come back under the number that it had.
                 if let Some(endpoint) = listed.or_else(|| self.operated.get(name).copied()) {
                     self.operated.insert(name.to_string(), endpoint);
-                    self.client.take_out(endpoint, out);
+                    self.client.set_maintenance(endpoint, out);
                     events.push(Event::Maint { endpoint, out, at: self.clock(Instant::now()) });
                 }
                 Change::Done
@@ -478,7 +478,7 @@
         if whole {
             release(before);
         }
-        self.client.follow_list();
+        self.client.close_outdated_connections();
         self.heed_operators(events);
         if whole {
             self.on_demand.directory_replaced(&self.sender, &*self.directory, events);
@@ -519,8 +519,9 @@
                 Input::Wind(until) => self.wind = Some(until),
                 Input::HandOver(reply) => self.handing_over = Some(reply),
                 Input::Health(reply) => {
-                    let ready =
-                        self.write_failed.is_none() && self.wind.is_none() && self.client.has_usable();
+                    let ready = self.write_failed.is_none()
+                        && self.wind.is_none()
+                        && self.client.has_callable_endpoint();
                     let _ = reply.send(ready);
                 }
                 Input::Maint { name, out, reply } => {
@@ -534,7 +535,7 @@
             self.sender.handle(now, &events, &mut actions);
         }
         self.on_demand.events_handled();
-        let mut calls: Vec<(EndpointId, Vec<Member>)> = Vec::new();
+        let mut calls: Vec<(EndpointId, Vec<CallMember>)> = Vec::new();
         let mut begun = Vec::new();
         let mut endings = Vec::new();
         let mut refused = Vec::new();
@@ -547,7 +548,7 @@
                     let name = self.directory.catalogue().get(endpoint).map(|e| e.name.to_string());
                     let Some(name) = name else {
                         // It has left the list in this round.
-                        let end = client::end_of(id, attempt, endpoint, Outcome::NotSent, at);
+                        let end = client::attempt_end(id, attempt, endpoint, Outcome::NotSent, at);
                         self.next.push(Event::AttemptEnd(end));
                         continue;
                     };
@@ -565,9 +566,15 @@
                     begun.push(Record::Begun(id, record));
                     let limit = if limit > 0 { (now + limit).min(end) } else { end };
                     let (end, limit, by) = (self.instant(end), self.instant(limit), self.instant(by));
-                    let member = Member { attempt, taken, end, limit, by };
+                    let member = CallMember {
+                        attempt,
+                        message: taken,
+                        deadline: end,
+                        attempt_deadline: limit,
+                        send_before: by,
+                    };
                     // As the module counts: sends to one endpoint in one round share calls.
-                    let batch = self.directory.batch(endpoint);
+                    let batch = self.directory.max_batch(endpoint);
                     match calls.iter_mut().rev().find(|(e, _)| *e == endpoint) {
                         Some((_, members)) if members.len() < batch => members.push(member),
                         _ => calls.push((endpoint, vec![member])),
@@ -639,7 +646,7 @@
             }
             for (endpoint, members) in calls {
                 for m in members {
-                    let end = client::end(&m, endpoint, Outcome::NotSent, Instant::now());
+                    let end = client::member_end(&m, endpoint, Outcome::NotSent, Instant::now());
                     self.next.push(Event::AttemptEnd(end));
                 }
             }
@@ -656,7 +663,7 @@
         for (endpoint, members) in calls {
             let cancel = Rc::new(Cancel::default());
             for m in &members {
-                self.calls.insert((m.taken.id, m.attempt), Out { endpoint, cancel: cancel.clone() });
+                self.calls.insert((m.message.id, m.attempt), Out { endpoint, cancel: cancel.clone() });
             }
             tokio::task::spawn_local(self.client.clone().call(endpoint, members, cancel));
         }
--- a/src/bin/sender/core/tests.rs
+++ b/src/bin/sender/core/tests.rs
@@ -241,7 +241,7 @@
     let (_, asks) = mpsc::channel(1);
     let (notices, _) = mpsc::unbounded_channel();
     let directory = Rc::new(Directory::new(&config.around, &config.settings.kinds));
-    let client = Client::new(core_in.clone(), directory.clone(), 1_000_000_000, 20_000_000_000, 32);
+    let client = EndpointClient::new(core_in.clone(), directory.clone(), 1_000_000_000, 20_000_000_000, 32);
     let listed = (directory, Rc::new(client));
     let maint = Maint::open(folder, 1).unwrap();
     let mut core = Core::new(config, journal(folder, &syncs), maint, listed, inbox, asks, notices);
--- a/src/bin/sender/directory.rs
+++ b/src/bin/sender/directory.rs
@@ -71,7 +71,7 @@
     }
 
     /// Returns how many messages one call to an endpoint may carry.
-    pub fn batch(&self, endpoint: EndpointId) -> usize {
+    pub fn max_batch(&self, endpoint: EndpointId) -> usize {
         let catalogue = self.catalogue.borrow();
         let kind = catalogue.get(endpoint).and_then(|e| self.kind(e.machine_type));
         kind.map_or(1, |kind| self.properties[kind].max_batch.max(1))
--- a/src/bin/sender/first_catalogue.rs
+++ b/src/bin/sender/first_catalogue.rs
@@ -25,27 +25,27 @@
     }
 
     /// Creates the catalogue of a process that starts without the numbers of an earlier one.
-    pub fn known(known: Catalogue) -> FirstCatalogue {
+    pub fn from_known_list(known: Catalogue) -> FirstCatalogue {
         let generation = known.generation();
         FirstCatalogue { in_force: known.clone(), watched: known, generation, new_to_module: true }
     }
 
     /// Creates the catalogue of a process that continues with the numbers of one that has ended. The list
     /// which that process had is out of date and not used.
-    pub fn restarted(
+    pub fn after_restart(
         numbers: &[(EndpointId, String)],
         next_id: EndpointId,
         known: Catalogue,
     ) -> FirstCatalogue {
         let names = numbers.iter().map(|(number, name)| (*number, name.as_str()));
-        FirstCatalogue::known(renumbered(names, next_id, known))
+        FirstCatalogue::from_known_list(renumbered(names, next_id, known))
     }
 
     /// Creates the catalogue of a process that has taken over from a running one.
-    pub fn handed_over(numbered: &Numbered, known: Catalogue) -> FirstCatalogue {
+    pub fn after_handover(numbered: &Numbered, known: Catalogue) -> FirstCatalogue {
         if numbered.generation.is_some() && known.generation() > numbered.generation {
             let names = numbered.endpoints.iter().map(|e| (e.number, e.name.as_str()));
-            return FirstCatalogue::known(renumbered(names, numbered.next_id, known));
+            return FirstCatalogue::from_known_list(renumbered(names, numbered.next_id, known));
         }
         let entries =
             numbered.endpoints.iter().map(|e| (e.number, completed(e.endpoint(), numbered, &known)));
--- a/src/bin/sender/first_catalogue/tests.rs
+++ b/src/bin/sender/first_catalogue/tests.rs
@@ -31,7 +31,7 @@
 #[test]
 fn list_of_same_generation_is_in_force_at_once() {
     let known = list(5, &[("a", true), ("b", true), ("c", true)]);
-    let first = FirstCatalogue::handed_over(&numbered(Some(5), &[("c", true)]), known);
+    let first = FirstCatalogue::after_handover(&numbered(Some(5), &[("c", true)]), known);
     assert!(!first.is_partial() && !first.new_to_module);
     assert_eq!((first.in_force.len(), first.generation), (3, Some(5)));
     assert_eq!(first.in_force.id("c"), Some(10));
@@ -41,7 +41,7 @@
 #[test]
 fn older_list_is_watched_but_not_in_force() {
     let known = list(4, &[("a", true), ("b", true)]);
-    let first = FirstCatalogue::handed_over(&numbered(Some(5), &[("b", false)]), known);
+    let first = FirstCatalogue::after_handover(&numbered(Some(5), &[("b", false)]), known);
     assert!(first.is_partial());
     assert_eq!((first.in_force.len(), first.watched.len(), first.generation), (1, 2, Some(4)));
     assert_eq!(lifecycle(&first.in_force, "b"), Some(Lifecycle::Draining));
@@ -51,7 +51,7 @@
 #[test]
 fn newer_list_replaces_handed_over_one_and_keeps_numbers() {
     let known = list(6, &[("a", true), ("b", false)]);
-    let first = FirstCatalogue::handed_over(&numbered(Some(5), &[("b", true), ("gone", true)]), known);
+    let first = FirstCatalogue::after_handover(&numbered(Some(5), &[("b", true), ("gone", true)]), known);
     assert!(!first.is_partial() && first.new_to_module);
     assert_eq!((first.in_force.len(), first.in_force.id("b")), (2, Some(10)));
     assert_eq!(lifecycle(&first.in_force, "b"), Some(Lifecycle::Draining));
@@ -60,7 +60,7 @@
 
 #[test]
 fn handed_over_list_is_used_without_known_list() {
-    let first = FirstCatalogue::handed_over(&numbered(Some(5), &[("b", true)]), Catalogue::default());
+    let first = FirstCatalogue::after_handover(&numbered(Some(5), &[("b", true)]), Catalogue::default());
     assert_eq!((first.in_force.len(), first.in_force.id("b"), first.generation), (1, Some(10), None));
 }
 
@@ -68,7 +68,7 @@
 fn handover_without_generation_is_completed_from_known_list() {
     let mut handed = numbered(None, &[("b", true)]);
     (handed.endpoints[0].zone, handed.endpoints[0].weight) = (String::new(), 0.0);
-    let first = FirstCatalogue::handed_over(&handed, list(5, &[("a", true), ("b", false)]));
+    let first = FirstCatalogue::after_handover(&handed, list(5, &[("a", true), ("b", false)]));
     assert!(first.is_partial());
     let endpoint = first.in_force.get(10).unwrap();
     assert_eq!((endpoint.zone, endpoint.weight, endpoint.lifecycle), ("z", 2.0, Lifecycle::Ready));
@@ -78,7 +78,7 @@
 #[test]
 fn restarted_process_keeps_numbers_but_not_old_list() {
     let numbers = [(3, "b".to_string()), (4, "gone".to_string())];
-    let first = FirstCatalogue::restarted(&numbers, 9, list(5, &[("a", true), ("b", true)]));
+    let first = FirstCatalogue::after_restart(&numbers, 9, list(5, &[("a", true), ("b", true)]));
     assert_eq!((first.in_force.id("b"), first.in_force.id("a"), first.in_force.len()), (Some(3), Some(9), 2));
     assert!(first.new_to_module && !first.is_partial());
     assert_eq!(first.generation, Some(5));
@@ -88,7 +88,7 @@
 fn whole_handed_over_list_is_in_force_and_watched() {
     let known = list(4, &[("a", true), ("b", true), ("gone", true)]);
     let whole = Numbered { whole: true, ..numbered(Some(5), &[("a", true), ("b", false)]) };
-    let first = FirstCatalogue::handed_over(&whole, known);
+    let first = FirstCatalogue::after_handover(&whole, known);
     assert!(!first.is_partial() && !first.new_to_module);
     assert_eq!((first.in_force.len(), first.watched.len(), first.generation), (2, 2, Some(5)));
     assert_eq!(lifecycle(&first.in_force, "b"), Some(Lifecycle::Draining));
@@ -97,6 +97,6 @@
 #[test]
 fn known_list_is_watched_if_none_was_handed_over() {
     let nothing = Numbered { whole: true, ..numbered(None, &[]) };
-    let first = FirstCatalogue::handed_over(&nothing, list(4, &[("a", true)]));
+    let first = FirstCatalogue::after_handover(&nothing, list(4, &[("a", true)]));
     assert_eq!(first.watched.len(), 1);
 }
--- a/src/bin/sender/handover.rs
+++ b/src/bin/sender/handover.rs
@@ -6,12 +6,12 @@
 //! old process decides nothing. It ends what it has out, tells how that ended, and passes on what still reaches
 //! it. Should the new process die, the old one starts over from the journal; should the old one die, what it
 //! had out is a broken connection to the new one.
-use crate::client::end_of;
+use crate::client::attempt_end;
 use crate::input::{Change, Input, Reply};
 use crate::owner::Owner;
 use crate::process_state::{Out, Rest, State};
 use crate::process_state_v1::StateV1;
-use crate::server::{Moved, Server};
+use crate::server::{ClientConnection, Server};
 use bytes::Bytes;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -314,7 +314,7 @@
     (state, listener): (State, &TcpListener),
     rest: Rest,
     server: Rc<Server>,
-    mut moved: mpsc::UnboundedReceiver<Moved>,
+    mut moved: mpsc::UnboundedReceiver<ClientConnection>,
     (told, end): (impl Future<Output = ()>, Duration),
 ) -> Passed {
     let Successor { mut reader, writer } = successor;
@@ -334,7 +334,10 @@
         sent = Ok(());
         // A connection is no longer open here once it waits to pass on.
         let waiting = !moved.is_empty() || !inbox.is_empty() || !asks.is_empty();
-        let out = !calls.is_empty() || !offers.is_empty() || !changes.is_empty() || server.open.get() > 0;
+        let out = !calls.is_empty()
+            || !offers.is_empty()
+            || !changes.is_empty()
+            || server.open_connections.get() > 0;
         let idle = !waiting && !out;
         if until.is_some_and(|at| Instant::now() >= at || idle) {
             return Passed::On;
@@ -352,7 +355,7 @@
                 _ => {}
             },
             Some(client) = moved.recv() => {
-                let Moved { stream, read, whole, stood } = client;
+                let ClientConnection { stream, buffered: read, had_request: whole, idle_time: stood } = client;
                 sent = writer.send(&Frame::Client { read, whole, stood }, Some(stream.as_fd())).await;
             }
             Some(input) = inbox.recv() => match input {
@@ -451,7 +454,9 @@
         // What it had out broke off with it.
         let ends: Vec<AttemptEnd> = out
             .iter()
-            .map(|(&(id, attempt), out)| end_of(id, attempt, out.endpoint, Outcome::ConnectionLost, started))
+            .map(|(&(id, attempt), out)| {
+                attempt_end(id, attempt, out.endpoint, Outcome::ConnectionLost, started)
+            })
             .collect();
         tracing::info!(calls = ends.len(), "the process before has ended");
         let _ = core.send(Input::Ended(ends)).await;
--- a/src/bin/sender/main.rs
+++ b/src/bin/sender/main.rs
@@ -161,8 +161,8 @@
     let calls = (settings.slots * 2 + 32).max(sockets / 4).min(sockets * 3 / 8);
     let directory = Rc::new(directory::Directory::new(&config.around, &settings.kinds));
     let (dial, idle) = (settings.connect_timeout, settings.idle_timeout);
-    let client = Rc::new(client::Client::new(core_in.clone(), directory.clone(), dial, idle, calls));
-    spawn_local(client.clone().keep_pool());
+    let client = Rc::new(client::EndpointClient::new(core_in.clone(), directory.clone(), dial, idle, calls));
+    spawn_local(client.clone().maintain_pool());
     let backoff = discovery::Backoff::new(settings.sender_count, config.seed);
     let (move_to, discovery) = watch::channel(config.discovery);
     let noticing = spawn_local(notices::run(discovery.clone(), notices, core_in.clone()));
@@ -246,7 +246,7 @@
         following.abort();
         noticing.abort();
         accepting.abort();
-        let _ = change.send(server::Phase::Moving);
+        let _ = change.send(server::Phase::HandingOver);
         let told = async {
             signals.told().await;
             control.serving.set(false);
@@ -262,9 +262,9 @@
     sleep(ACCEPT_ON).await;
     let _ = change.send(server::Phase::Closing);
     let _ = accepting.await;
-    server.close(listener);
+    server.accept_queued_and_close(listener);
     let gone = async {
-        while server.open.get() > 0 {
+        while server.open_connections.get() > 0 {
             sleep(Duration::from_millis(10)).await;
         }
     };
@@ -273,7 +273,7 @@
     let _ = timeout_at(told + END, core_in.closed()).await;
     // What the core did not take any more is refused; that answer still has to be written.
     let answered = async {
-        while server.owes_answers() {
+        while server.has_unanswered_requests() {
             sleep(Duration::from_millis(5)).await;
         }
     };
--- a/src/bin/sender/server.rs
+++ b/src/bin/sender/server.rs
@@ -173,64 +173,66 @@
     /// Closes each connection between two requests.
     Closing,
     /// Passes each connection to the next process between two requests.
-    Moving,
+    HandingOver,
 }
 
 /// A client's connection between two requests, as it passes from one process to the next.
-pub struct Moved {
+pub struct ClientConnection {
     pub stream: TcpStream,
     /// Bytes of the next request that were read already.
-    pub read: Bytes,
+    pub buffered: Bytes,
     /// Whether the connection has had a complete request.
-    pub whole: bool,
+    pub had_request: bool,
     /// Time since it was opened or its last answer was given.
-    pub stood: Duration,
+    pub idle_time: Duration,
 }
 
 /// The HTTP server for clients.
 pub struct Server {
     pub core: mpsc::Sender<Input>,
     directory: Rc<Directory>,
-    pub around: ProgramSettings,
+    pub settings: ProgramSettings,
     /// The effect of each class, by the number of the class.
     pub effects: Vec<Effect>,
     /// Maximum number of connections that are served.
-    pub most: usize,
-    /// Maximum number of connections above `most` that are answered 503; further ones wait to be accepted.
-    pub turned_away: usize,
-    pub open: Cell<usize>,
+    pub max_connections: usize,
+    /// Maximum number of connections above `max_connections` that are answered 503; further ones wait to be
+    /// accepted.
+    pub max_rejected: usize,
+    pub open_connections: Cell<usize>,
     /// Notified when a connection has been closed or moved.
-    pub closed: Notify,
+    pub connection_closed: Notify,
     phase: watch::Receiver<Phase>,
     /// Takes connections for the next process. Unbounded, but never longer than the number of open
     /// connections.
-    moved: mpsc::UnboundedSender<Moved>,
+    handed_over: mpsc::UnboundedSender<ClientConnection>,
     connections: RefCell<HashMap<u64, Rc<ConnectionState>>>,
     next_connection_id: Cell<u64>,
 }
 
 impl Server {
-    /// Creates a server with `most` connections that are served and `turned_away` more that are answered 503.
+    /// Creates a server with `max_connections` connections that are served and `max_rejected` more that are
+    /// answered 503.
     pub fn new(
         (core, directory): (mpsc::Sender<Input>, Rc<Directory>),
-        around: ProgramSettings,
+        settings: ProgramSettings,
         effects: Vec<Effect>,
-        (most, turned_away): (usize, usize),
+        (max_connections, max_rejected): (usize, usize),
         phase: watch::Receiver<Phase>,
-        moved: mpsc::UnboundedSender<Moved>,
+        handed_over: mpsc::UnboundedSender<ClientConnection>,
     ) -> Server {
-        let (open, closed, connections, next_connection_id) = Default::default();
+        let (open_connections, connection_closed, connections, next_connection_id) = Default::default();
         Server {
             core,
             directory,
-            around,
+            settings,
             effects,
-            most,
-            turned_away,
-            open,
-            closed,
+            max_connections,
+            max_rejected,
+            open_connections,
+            connection_closed,
             phase,
-            moved,
+            handed_over,
             connections,
             next_connection_id,
         }
@@ -255,7 +257,7 @@
     /// Returns whether the limit of connections is nearly reached. Connections are then closed after each
     /// answer, as idle ones would keep other clients out.
     fn is_nearly_full(&self) -> bool {
-        self.open.get() + self.turned_away >= self.most
+        self.open_connections.get() + self.max_rejected >= self.max_connections
     }
 
     /// Accepts connections until the future is dropped or the phase changes. In the new phase connections are
@@ -263,10 +265,10 @@
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let mut phase = self.phase.clone();
         loop {
-            let full = self.open.get() >= self.most + self.turned_away.max(1);
+            let full = self.open_connections.get() >= self.max_connections + self.max_rejected.max(1);
             let stream = tokio::select! {
                 _ = phase.wait_for(|p| *p != Phase::Serving) => return,
-                () = self.closed.notified(), if full => continue,
+                () = self.connection_closed.notified(), if full => continue,
                 accepted = listener.accept(), if !full => match accepted {
                     Ok((stream, _)) => stream,
                     Err(error) => {
@@ -284,8 +286,8 @@
     /// Accepts the connections that are already queued, up to the limit, and closes the listener, so that
     /// later ones are refused at once instead of waiting for the process to end. To be called after `accept`
     /// has returned.
-    pub fn close(self: &Rc<Self>, listener: std::net::TcpListener) {
-        while self.open.get() < self.most + self.turned_away.max(1) {
+    pub fn accept_queued_and_close(self: &Rc<Self>, listener: std::net::TcpListener) {
+        while self.open_connections.get() < self.max_connections + self.max_rejected.max(1) {
             let accepted = listener.accept().and_then(|(s, _)| s.set_nonblocking(true).map(|()| s));
             match accepted.and_then(TcpStream::from_std) {
                 Ok(stream) => self.admit_new(stream),
@@ -296,7 +298,7 @@
     }
 
     /// Returns whether any request that has been read, in full or in part, has no answer yet.
-    pub fn owes_answers(&self) -> bool {
+    pub fn has_unanswered_requests(&self) -> bool {
         self.connections
             .borrow()
             .values()
@@ -304,45 +306,59 @@
     }
 
     fn admit_new(self: &Rc<Self>, stream: TcpStream) {
-        let full = self.open.get() >= self.most && !self.evict_one();
-        self.admit(Moved { stream, read: Bytes::new(), whole: false, stood: Duration::ZERO }, full);
+        let full = self.open_connections.get() >= self.max_connections && !self.evict_one();
+        self.admit(
+            ClientConnection {
+                stream,
+                buffered: Bytes::new(),
+                had_request: false,
+                idle_time: Duration::ZERO,
+            },
+            full,
+        );
     }
 
     /// Serves a connection that the previous process has handed over.
-    pub fn adopt(self: &Rc<Self>, socket: OwnedFd, read: Bytes, whole: bool, stood: Duration) {
+    pub fn adopt(self: &Rc<Self>, socket: OwnedFd, buffered: Bytes, had_request: bool, idle_time: Duration) {
         match TcpStream::from_std(socket.into()) {
-            Ok(stream) => self.admit(Moved { stream, read, whole, stood }, false),
+            Ok(stream) => self.admit(ClientConnection { stream, buffered, had_request, idle_time }, false),
             Err(error) => tracing::warn!(%error, "cannot take over a client's connection"),
         }
     }
 
-    fn admit(self: &Rc<Self>, client: Moved, full: bool) {
-        self.open.set(self.open.get() + 1);
+    fn admit(self: &Rc<Self>, client: ClientConnection, full: bool) {
+        self.open_connections.set(self.open_connections.get() + 1);
         let server = self.clone();
         let now = Instant::now();
-        let last_used = now.checked_sub(client.stood).unwrap_or(now);
-        let state = Rc::new(ConnectionState::new(last_used, !client.whole || !client.read.is_empty()));
-        state.record_head(&client.read);
+        let last_used = now.checked_sub(client.idle_time).unwrap_or(now);
+        let state =
+            Rc::new(ConnectionState::new(last_used, !client.had_request || !client.buffered.is_empty()));
+        state.record_head(&client.buffered);
         let id = self.next_connection_id.replace(self.next_connection_id.get() + 1);
         self.connections.borrow_mut().insert(id, state.clone());
         tokio::task::spawn_local(async move {
             if let Some(client) = server.serve(client, full, &state).await {
-                let _ = server.moved.send(client);
+                let _ = server.handed_over.send(client);
             }
             server.connections.borrow_mut().remove(&id);
-            server.open.set(server.open.get() - 1);
-            server.closed.notify_one();
+            server.open_connections.set(server.open_connections.get() - 1);
+            server.connection_closed.notify_one();
         });
     }
 
     /// Serves a connection until it is closed, or until it can be moved, which it then returns. If `full`,
     /// each of its requests is answered 503.
-    async fn serve(&self, client: Moved, full: bool, state: &Rc<ConnectionState>) -> Option<Moved> {
-        let Moved { stream, read, whole, .. } = client;
+    async fn serve(
+        &self,
+        client: ClientConnection,
+        full: bool,
+        state: &Rc<ConnectionState>,
+    ) -> Option<ClientConnection> {
+        let ClientConnection { stream, buffered, had_request, .. } = client;
         let _ = stream.set_nodelay(true);
         let mut phase = self.phase.clone();
         let accepted = state.last_used.get();
-        let had_request = Cell::new(whole);
+        let had_request = Cell::new(had_request);
         let service = service_fn(|request| {
             let had_request = &had_request;
             Box::pin(async move {
@@ -370,9 +386,9 @@
         // Bytes that the previous process had read come first.
         let (reader, writer) = stream.into_split();
         let reader = ObservedReader { inner: reader, state: state.clone() };
-        let io = TokioIo::new(join(Cursor::new(read).chain(reader), writer));
+        let io = TokioIo::new(join(Cursor::new(buffered).chain(reader), writer));
         let mut connection = Builder::new().serve_connection(io, service);
-        let mut moving = false;
+        let mut handing_over = false;
         // When closing began, if it did so in the middle of a request.
         let mut closing_since: Option<Instant> = None;
         // Takes the connection apart into its socket and the bytes that were read but not used.
@@ -381,17 +397,17 @@
             let (reader, writer) = io.into_inner().into_inner();
             let (ahead, reader) = reader.into_inner();
             let unread = ahead.get_ref().get(ahead.position() as usize..).unwrap_or_default();
-            let read = [&parts.read_buf, unread].concat().into();
-            (reader.inner.reunite(writer).ok(), read)
+            let buffered = [&parts.read_buf, unread].concat().into();
+            (reader.inner.reunite(writer).ok(), buffered)
         };
         loop {
-            if moving && state.unanswered.get() == 0 {
-                let (stream, read) = into_stream(connection.into_parts());
-                return Some(Moved {
+            if handing_over && state.unanswered.get() == 0 {
+                let (stream, buffered) = into_stream(connection.into_parts());
+                return Some(ClientConnection {
                     stream: stream?,
-                    read,
-                    whole: had_request.get(),
-                    stood: state.last_used.get().elapsed(),
+                    buffered,
+                    had_request: had_request.get(),
+                    idle_time: state.last_used.get().elapsed(),
                 });
             }
             if closing_since.is_some() && state.is_idle() {
@@ -407,9 +423,11 @@
                 biased;
                 _ = poll_fn(|cx| connection.poll_without_shutdown(cx)) => break,
                 () = state.answered.notified() => {}
-                changed = phase.wait_for(|p| *p != Phase::Serving), if closing_since.is_none() && !moving => {
-                    moving = changed.is_ok_and(|p| *p == Phase::Moving) && !full;
-                    if !moving {
+                changed = phase.wait_for(|p| *p != Phase::Serving),
+                    if closing_since.is_none() && !handing_over =>
+                {
+                    handing_over = changed.is_ok_and(|p| *p == Phase::HandingOver) && !full;
+                    if !handing_over {
                         closing_since = Some(Instant::now());
                         state.closing.set(true);
                     }
@@ -452,12 +470,12 @@
         if head.headers.contains_key(TRANSFER_ENCODING) && !state.lacks_content_length() {
             // Parsers disagree on where this request ends, so what follows must not be read as another
             // request.
-            return with_connection_close(plain(StatusCode::BAD_REQUEST, "the body has two lengths"));
+            return with_connection_close(text_response(StatusCode::BAD_REQUEST, "the body has two lengths"));
         }
         if head.headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum::<usize>()
             > MAX_HEADERS_BYTES
         {
-            return with_connection_close(plain(
+            return with_connection_close(text_response(
                 StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
                 "the headers are over 8 KiB",
             ));
@@ -465,39 +483,39 @@
         let path = head.uri.path();
         if path == "/healthz" {
             return match head.method {
-                Method::GET | Method::HEAD if self.directory.has_list() => plain(StatusCode::OK, ""),
+                Method::GET | Method::HEAD if self.directory.has_list() => text_response(StatusCode::OK, ""),
                 // Without a list, every accepted message would wait for the first one.
                 Method::GET | Method::HEAD => {
-                    plain(StatusCode::SERVICE_UNAVAILABLE, "no list of endpoints\n")
+                    text_response(StatusCode::SERVICE_UNAVAILABLE, "no list of endpoints\n")
                 }
-                _ => wrong_method("GET, HEAD"),
+                _ => method_not_allowed("GET, HEAD"),
             };
         }
         // Clients send a class name that is not ASCII either as UTF-8 or percent-encoded.
         let class_name = path.trim_start_matches('/').split('/').next().unwrap_or_default();
         let class_name = percent_decode_str(class_name).decode_utf8_lossy();
-        let Some(class) = self.around.classes.iter().position(|c| *c == class_name && !c.is_empty()) else {
-            return plain(StatusCode::NOT_FOUND, "no such class of message");
+        let Some(class) = self.settings.classes.iter().position(|c| *c == class_name && !c.is_empty()) else {
+            return text_response(StatusCode::NOT_FOUND, "no such class of message");
         };
         if head.method != Method::POST {
-            return wrong_method("POST");
+            return method_not_allowed("POST");
         }
         if body.size_hint().lower() > MAX_BODY as u64 {
-            return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB");
+            return text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB");
         }
         let (mut taken, left) = match self.parse_headers(&head.headers, class) {
             Ok(parsed) => parsed,
-            Err(reason) => return plain(StatusCode::BAD_REQUEST, reason),
+            Err(reason) => return text_response(StatusCode::BAD_REQUEST, reason),
         };
         let end = Instant::now() + left;
         taken.end = wall_ms() + left.as_millis() as i64;
         taken.body = match timeout_at(body_by, Limited::new(body, MAX_BODY).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
-                return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB")
+                return text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB")
             }
-            Ok(Err(_)) => return plain(StatusCode::BAD_REQUEST, "the body can't be read"),
-            Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body does not come"),
+            Ok(Err(_)) => return text_response(StatusCode::BAD_REQUEST, "the body can't be read"),
+            Err(_) => return text_response(StatusCode::REQUEST_TIMEOUT, "the body does not come"),
         };
         state.request_complete.set(true);
         let (reply, answer) = oneshot::channel();
@@ -505,9 +523,9 @@
             return unavailable(None);
         }
         match answer.await {
-            Ok(Reply::TakenOn) => plain(StatusCode::ACCEPTED, ""),
+            Ok(Reply::TakenOn) => text_response(StatusCode::ACCEPTED, ""),
             Ok(Reply::Refused(retry_after)) => unavailable(retry_after),
-            Ok(Reply::Failed) => plain(StatusCode::INTERNAL_SERVER_ERROR, "can't be delivered"),
+            Ok(Reply::Failed) => text_response(StatusCode::INTERNAL_SERVER_ERROR, "can't be delivered"),
             Err(_) => unavailable(None),
         }
     }
@@ -536,15 +554,17 @@
             let read = std::str::from_utf8(value.as_bytes()).map(str::trim).ok();
             Some(read.filter(|t| t.len() <= MAX_VALUE_BYTES))
         };
-        let class_name = &self.around.classes[class];
+        let class_name = &self.settings.classes[class];
         if text("x-qos") != Some(Some(class_name.as_str())) {
             return Err("X-Qos is missing, or not the class in the path");
         }
         let trace = text("x-trace-id").flatten().filter(|t| !t.is_empty());
         let trace = trace.ok_or("X-Trace-Id is missing or malformed")?;
         let tenant = match text("x-customer") {
-            None if self.around.tenants.is_empty() => "",
-            Some(Some(t)) if self.around.tenants.is_empty() || self.around.tenants.iter().any(|n| n == t) => {
+            None if self.settings.tenants.is_empty() => "",
+            Some(Some(t))
+                if self.settings.tenants.is_empty() || self.settings.tenants.iter().any(|n| n == t) =>
+            {
                 t
             }
             _ => return Err("X-Customer is missing or unknown"),
@@ -571,7 +591,7 @@
 }
 
 /// Returns a response with a plain text as its body.
-pub fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+pub fn text_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
@@ -584,15 +604,15 @@
 }
 
 /// Returns a 405 response that names the allowed methods.
-pub fn wrong_method(allowed: &'static str) -> Response<Full<Bytes>> {
-    let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "");
+pub fn method_not_allowed(allowed: &'static str) -> Response<Full<Bytes>> {
+    let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, "");
     response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
     response
 }
 
 /// Returns a 503 response that asks to retry after the given time, or after one second.
 fn unavailable(retry_after: Option<Duration>) -> Response<Full<Bytes>> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "");
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "");
     let seconds = retry_after.unwrap_or(Duration::from_secs(1)).as_secs_f64();
     if let Ok(value) = HeaderValue::from_str(&format!("{seconds:.3}")) {
         response.headers_mut().insert(RETRY_AFTER, value);
