--- a/src/bin/sender/client.rs
+++ b/src/bin/sender/client.rs
@@ -27,11 +27,15 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Maximum size of a body, of a request or of an answer.
+/// Maximum size of a body in bytes, of a request or of an answer.
 pub const MAX_BODY: usize = 64 << 10;
 /// A call that fails within this time on a reused connection is taken as a sign that the endpoint had closed
 /// the idle connection: a reset takes one round trip, while an answer takes the work of the call as well.
 const STALE_RESET_TIME: Duration = Duration::from_millis(20);
+/// Idle connections are closed after this fraction of the time after which endpoints close them.
+const IDLE_TIME_FRACTION: f64 = 0.9;
+/// How often expired idle connections and waits are removed.
+const POOL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A message's part in a call.
 pub struct CallMember {
@@ -72,7 +76,7 @@
     ) -> EndpointClient {
         // Idle connections are closed well before the endpoint does so: a request that is written to a
         // connection which the endpoint has closed is answered by a reset.
-        let max_idle = Duration::from_nanos((idle_close.max(0) as f64 * 0.9) as u64);
+        let max_idle = Duration::from_nanos((idle_close.max(0) as f64 * IDLE_TIME_FRACTION) as u64);
         EndpointClient {
             core,
             directory,
@@ -126,9 +130,9 @@
 
     /// Regularly closes expired idle connections and removes expired waits. Never returns.
     pub async fn maintain_pool(self: Rc<Self>) {
-        let mut every = tokio::time::interval(Duration::from_millis(100));
+        let mut interval = tokio::time::interval(POOL_INTERVAL);
         loop {
-            every.tick().await;
+            interval.tick().await;
             self.pool.close_expired();
             self.blocked_until.borrow_mut().retain(|_, until| *until > Instant::now());
         }
--- a/src/bin/sender/discovery.rs
+++ b/src/bin/sender/discovery.rs
@@ -11,6 +11,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout_at, Instant};
 
+/// How long connecting to discovery may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a watch waits for changes, for a small fleet.
 const WATCH_WAIT: Duration = Duration::from_secs(5);
 /// How long a call that asks for an immediate answer may take: discovery may take 2 s to reject a call.
@@ -131,7 +133,7 @@
     path: &str,
 ) -> Result<(Connection, Incoming), FetchError> {
     let (conn, answer) = loop {
-        let opened = Connection::reuse_or_open(kept_connection, address, Duration::from_secs(1)).await;
+        let opened = Connection::reuse_or_open(kept_connection, address, CONNECT_TIMEOUT).await;
         let mut conn = opened.map_err(|e| FetchError::NotAccepted(e.to_string()))?;
         let request = connection::request("GET", path, address, &[], Default::default());
         match conn.send(request).await {
--- a/src/bin/sender/list_intake.rs
+++ b/src/bin/sender/list_intake.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Maximum size of a body that is collected and read on the event loop.
+/// Maximum size in bytes of a body that is collected and read on the event loop.
 const MAX_SHORT_BODY: usize = 64 << 10;
 /// The time limits of a longer body. The total is enough for about 50 MB at 400 KB/s.
 const LONG_BODY_TIMEOUTS: Timeouts =
--- a/src/bin/sender/server.rs
+++ b/src/bin/sender/server.rs
@@ -35,6 +35,8 @@
 /// How long a connection may take to send its first request in full, and a later request to send its body.
 /// Clients with malformed or incomplete requests must get an error or a close within 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// How long accepting pauses after it has failed.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// Maximum size of a request's headers in total. The headers of a message take a few hundred bytes.
 const MAX_HEADERS_BYTES: usize = 8 << 10;
 const HEAD_END: &[u8] = b"\r\n\r\n";
@@ -189,6 +191,7 @@
 
 /// The HTTP server for clients.
 pub struct Server {
+    /// Takes the messages of valid requests.
     pub core: mpsc::Sender<Input>,
     directory: Rc<Directory>,
     pub settings: ProgramSettings,
@@ -199,6 +202,7 @@
     /// Maximum number of connections above `max_connections` that are answered 503; further ones wait to be
     /// accepted.
     pub max_rejected: usize,
+    /// Number of open connections, including those above `max_connections`.
     pub open_connections: Cell<usize>,
     /// Notified when a connection has been closed or moved.
     pub connection_closed: Notify,
@@ -274,7 +278,7 @@
                     Err(error) => {
                         // For example, no descriptor is left; open connections are still served.
                         tracing::warn!(%error, "cannot accept a client's connection");
-                        sleep(Duration::from_millis(20)).await;
+                        sleep(ACCEPT_RETRY_PAUSE).await;
                         continue;
                     }
                 },
