--- a/src/bin/sender/discovery.rs
+++ b/src/bin/sender/discovery.rs
@@ -45,7 +45,8 @@
 /// Decides when a sender calls again: exponential backoff with full jitter, as all senders of a fleet fail
 /// together. Also decides how long a watch waits.
 pub struct Backoff {
-    /// The mean time between two calls of one sender that gives the whole fleet one call per `FLEET_PAUSE`.
+    /// The mean time between two calls of one sender that gives a fleet of up to 100 senders one call per
+    /// `FLEET_PAUSE`.
     interval: Duration,
     /// Calls that failed in a row.
     failures: u32,
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -15,8 +15,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Entries of a large list, which takes more than 4 MiB.
-const LARGE: usize = 30_000;
+/// Number of entries of a large list, which takes more than 4 MiB.
+const LARGE_LIST_ENTRIES: usize = 30_000;
 /// The first destination of the filler entries.
 const FIRST_FILLER_DESTINATION: u64 = 1_000_000;
 /// Time to deliver messages for which everything they need happens in time.
@@ -29,7 +29,7 @@
 const MIN_KILL_DELAY: Duration = Duration::from_millis(3_700);
 
 /// Returns random numbers from the seed in `SEED` or a new one, and prints the seed.
-fn seeded(test: &str) -> fastrand::Rng {
+fn seeded_random(test: &str) -> fastrand::Rng {
     let drawn = || fastrand::u64(..1_000_000_000);
     let seed = std::env::var("SEED").ok().and_then(|s| s.parse().ok()).unwrap_or_else(drawn);
     println!("{test}: seed {seed}");
@@ -37,15 +37,16 @@
 }
 
 /// Starts an endpoint that must not be called. All entries that a test does not use have its address.
-fn trap() -> Peer {
+fn forbidden() -> Peer {
     Peer::new(|_| answer("400 Bad", "", ""))
 }
 
 /// Returns entries of destinations that nothing is sent to.
-fn fillers(random: &mut fastrand::Rng, trap: &Peer, count: usize) -> Vec<String> {
+fn fillers(random: &mut fastrand::Rng, forbidden: &Peer, count: usize) -> Vec<String> {
     let mark = random.u32(..);
     let entry = |i: usize| {
-        ready(&format!("s-{mark:08x}-{i}"), trap.address, FIRST_FILLER_DESTINATION + i as u64).to_string()
+        ready(&format!("s-{mark:08x}-{i}"), forbidden.address, FIRST_FILLER_DESTINATION + i as u64)
+            .to_string()
     };
     (0..count).map(entry).collect()
 }
@@ -66,8 +67,8 @@
 }
 
 /// Returns the entries of a large list of which only the given ones are used.
-fn large_list(random: &mut fastrand::Rng, trap: &Peer, used: &[Value]) -> Vec<String> {
-    let mut entries = fillers(random, trap, LARGE);
+fn large_list(random: &mut fastrand::Rng, forbidden: &Peer, used: &[Value]) -> Vec<String> {
+    let mut entries = fillers(random, forbidden, LARGE_LIST_ENTRIES);
     place_in_first_quarter(random, &mut entries, used);
     entries
 }
@@ -285,16 +286,16 @@
     discovery: LargeDiscovery,
     old: Peer,
     new: Peer,
-    trap: Peer,
+    forbidden: Peer,
     /// A list of some of the entries that is not too large. It names the new endpoint, of destination 8.
     fits: Vec<u8>,
 }
 
 impl SenderWithRefusedList {
     fn new(test: &str, case: TooLarge, listed: impl Fn(&Peer) -> Vec<Value>) -> SenderWithRefusedList {
-        let mut random = seeded(test);
-        let (old, new, trap) = (Peer::new(|_| ok()), Peer::new(|_| ok()), trap());
-        let mut entries = fillers(&mut random, &trap, case.entries);
+        let mut random = seeded_random(test);
+        let (old, new, forbidden) = (Peer::new(|_| ok()), Peer::new(|_| ok()), forbidden());
+        let mut entries = fillers(&mut random, &forbidden, case.entries);
         let part = entries.len() / 8;
         place_in_first_quarter(&mut random, &mut entries[..part], &[ready("n-1", new.address, 8)]);
         let discovery = LargeDiscovery::new(5, body(5, &entries));
@@ -306,7 +307,7 @@
         node.launch();
         node.until("the sender answers", || node.health().is_some());
         node.until("the list is refused", || !refusals(&node, &case.allowed).is_empty());
-        SenderWithRefusedList { case, node, discovery, old, new, trap, fits }
+        SenderWithRefusedList { case, node, discovery, old, new, forbidden, fits }
     }
 
     /// Starts a sender whose known list names the old endpoint, of destination 7.
@@ -326,8 +327,8 @@
         refused
     }
 
-    /// Checks that the sender goes on as before, fetches the list rarely, and logs at most one refusal for
-    /// each fetch.
+    /// Checks that the sender goes on as before, fetches the list rarely, and has logged the refusal, at most
+    /// once for each fetch.
     fn assert_unchanged(&self) {
         let health = self.node.health();
         assert_fetches_become_rare(&self.discovery);
@@ -338,13 +339,13 @@
 
     /// Checks that a list which is not too large is accepted afterwards.
     fn assert_accepts_smaller_list(self) {
-        let SenderWithRefusedList { node, discovery, old, new, trap, fits, .. } = self;
+        let SenderWithRefusedList { node, discovery, old, new, forbidden, fits, .. } = self;
         discovery.replace(6, fits);
         discovery.wait_watch(6);
         node.until("the sender is healthy", || node.health() == Some(200));
         assert_delivered(&node, &new, "fits", 8);
         assert_not_served(&node, &discovery, "withdrawn", 7);
-        assert!(trap.seen().is_empty(), "{:?}", trap.seen());
+        assert!(forbidden.seen().is_empty(), "{:?}", forbidden.seen());
         assert!(old.seen().len() <= 1);
     }
 }
@@ -375,10 +376,10 @@
 
 #[test]
 fn ignores_known_list_that_is_too_large() {
-    let mut random = seeded("known too large");
+    let mut random = seeded_random("known too large");
     let case = TooLarge::by_entries();
-    let (endpoint, trap) = (Peer::new(|_| ok()), trap());
-    let entries = fillers(&mut random, &trap, case.entries);
+    let (endpoint, forbidden) = (Peer::new(|_| ok()), forbidden());
+    let entries = fillers(&mut random, &forbidden, case.entries);
     let listed: Vec<Value> = entries.iter().map(|entry| serde_json::from_str(entry).unwrap()).collect();
     let fits = [ready("e-1", endpoint.address, 7).to_string()];
     let discovery = LargeDiscovery::new(5, body(5, &fits));
@@ -403,10 +404,10 @@
 
 #[test]
 fn refuses_changes_that_make_list_too_large() {
-    let mut random = seeded("changes too large");
+    let mut random = seeded_random("changes too large");
     let case = TooLarge::by_entries();
-    let (old, new, trap) = (Peer::new(|_| ok()), Peer::new(|_| ok()), trap());
-    let mut entries = fillers(&mut random, &trap, 19_990);
+    let (old, new, forbidden) = (Peer::new(|_| ok()), Peer::new(|_| ok()), forbidden());
+    let mut entries = fillers(&mut random, &forbidden, 19_990);
     place_in_first_quarter(
         &mut random,
         &mut entries,
@@ -416,7 +417,7 @@
     let node = start_with_known_list(&discovery, &[], |config| case.configure(config));
     discovery.wait_watch(5);
     assert_delivered(&node, &old, "before", 7);
-    let more = (0..20).map(|i| ready(&format!("more-{i}"), trap.address, 2_000_000 + i));
+    let more = (0..20).map(|i| ready(&format!("more-{i}"), forbidden.address, 2_000_000 + i));
     let gone = instance("o-2", old.address, 9, "plain", "Gone");
     discovery.change([ready("n-1", new.address, 8), gone].into_iter().chain(more).collect());
     node.until("the list is refused", || !refusals(&node, &case.allowed).is_empty());
@@ -428,15 +429,15 @@
     discovery.replace(8, body(8, &[ready("n-1", new.address, 8).to_string()]));
     discovery.wait_watch(8);
     assert_delivered(&node, &new, "fits", 8);
-    assert_eq!((old.seen().len(), trap.seen().len()), (3, 0));
+    assert_eq!((old.seen().len(), forbidden.seen().len()), (3, 0));
 }
 
 #[test]
 fn sighup_after_refused_list_calls_new_address_at_once() {
-    let mut random = seeded("SIGHUP after a refusal");
+    let mut random = seeded_random("SIGHUP after a refusal");
     let case = TooLarge::by_entries();
-    let (endpoint, trap) = (Peer::new(|_| ok()), trap());
-    let old = LargeDiscovery::new(5, body(5, &fillers(&mut random, &trap, case.entries)));
+    let (endpoint, forbidden) = (Peer::new(|_| ok()), forbidden());
+    let old = LargeDiscovery::new(5, body(5, &fillers(&mut random, &forbidden, case.entries)));
     let fits = [ready("e-1", endpoint.address, 7).to_string()];
     let moved_to = LargeDiscovery::new(3, body(3, &fits));
     let mut node = Node::prepare(old.address, json!([]), |config| case.configure(config));
@@ -455,12 +456,12 @@
 #[test]
 fn sender_with_32_mb_refuses_list_that_does_not_fit_and_stays_below_limit() {
     const ENTRIES: usize = 160_000;
-    let mut random = seeded("32 MB");
-    let (old, new, trap) = (Peer::new(|_| ok()), Peer::new(|_| ok()), trap());
+    let mut random = seeded_random("32 MB");
+    let (old, new, forbidden) = (Peer::new(|_| ok()), Peer::new(|_| ok()), forbidden());
     let mark = random.u32(..);
     let entry = |i: usize| {
         let name = format!("{mark:08x}-{i:055}");
-        ready(&name, trap.address, FIRST_FILLER_DESTINATION + i as u64).to_string()
+        ready(&name, forbidden.address, FIRST_FILLER_DESTINATION + i as u64).to_string()
     };
     let mut entries: Vec<String> = (0..ENTRIES).map(entry).collect();
     place_in_first_quarter(&mut random, &mut entries, &[ready("n-1", new.address, 8)]);
@@ -493,9 +494,9 @@
 
 /// Checks that a list which is cut off changes nothing and is fetched again.
 fn check_truncated_list(name: &str, delivery: Delivery) {
-    let mut random = seeded(&format!("{name}, {:?}", delivery.framing));
-    let (old, new, trap) = (Peer::new(|_| ok()), Peer::new(|_| ok()), trap());
-    let entries = large_list(&mut random, &trap, &[ready("n-1", new.address, 8)]);
+    let mut random = seeded_random(&format!("{name}, {:?}", delivery.framing));
+    let (old, new, forbidden) = (Peer::new(|_| ok()), Peer::new(|_| ok()), forbidden());
+    let entries = large_list(&mut random, &forbidden, &[ready("n-1", new.address, 8)]);
     let discovery = LargeDiscovery::new(5, body(5, &entries));
     let gate = Gate::default();
     discovery.deliver(delivery);
@@ -513,7 +514,7 @@
     assert_delivered(&node, &new, "whole", 8);
     assert_not_served(&node, &discovery, "withdrawn", 7);
     assert_eq!(discovery.complete_whole_lists().len(), 1, "{name}: {}", summary(&discovery.whole_lists()));
-    assert_eq!((old.seen().len(), trap.seen().len()), (1, 0), "{name}");
+    assert_eq!((old.seen().len(), forbidden.seen().len()), (1, 0), "{name}");
     wait_for_reading_thread_to_end(&node);
 }
 
@@ -528,8 +529,8 @@
 
 #[test]
 fn truncated_large_change_is_not_applied_and_is_fetched_again() {
-    let mut random = seeded("a change breaks off");
-    let (old, new, trap) = (Peer::new(|_| ok()), Peer::new(|_| ok()), trap());
+    let mut random = seeded_random("a change breaks off");
+    let (old, new, forbidden) = (Peer::new(|_| ok()), Peer::new(|_| ok()), forbidden());
     let listed = ready("o-1", old.address, 7);
     let discovery = LargeDiscovery::new(5, body(5, &[listed.to_string()]));
     let node = start_with_known_list(&discovery, &[], |_| {});
@@ -540,7 +541,7 @@
     }
     discovery.deliver_change(Delivery::until(0.1, Then::Hold(gate.clone())));
     let gone = instance("o-1", old.address, 7, "plain", "Gone");
-    let entries = large_list(&mut random, &trap, &[ready("n-1", new.address, 8), gone]);
+    let entries = large_list(&mut random, &forbidden, &[ready("n-1", new.address, 8), gone]);
     let entries = entries.iter().map(|entry| serde_json::from_str(entry).unwrap());
     let generation = discovery.change(entries.collect());
     discovery.wait("another call for the change", |calls| calls.iter().filter(|c| c.held).count() >= 2);
@@ -550,14 +551,14 @@
     discovery.wait_watch(generation);
     assert_delivered(&node, &new, "whole", 8);
     assert_not_served(&node, &discovery, "withdrawn", 7);
-    assert_eq!((old.seen().len(), trap.seen().len()), (1, 0));
+    assert_eq!((old.seen().len(), forbidden.seen().len()), (1, 0));
 }
 
 #[test]
 fn slow_list_is_accepted_as_long_as_it_keeps_coming() {
-    let mut random = seeded("slow");
-    let (endpoint, trap) = (Peer::new(|_| ok()), trap());
-    let entries = large_list(&mut random, &trap, &[ready("e-1", endpoint.address, 7)]);
+    let mut random = seeded_random("slow");
+    let (endpoint, forbidden) = (Peer::new(|_| ok()), forbidden());
+    let entries = large_list(&mut random, &forbidden, &[ready("e-1", endpoint.address, 7)]);
     let discovery = LargeDiscovery::new(5, body(5, &entries));
     // In total this takes far longer than discovery may be silent.
     let slowly = Then::Trickle { pauses: 50, each: Duration::from_millis(100) };
@@ -591,9 +592,9 @@
 
 #[test]
 fn sender_without_list_is_unhealthy_until_complete_list() {
-    let mut random = seeded("nothing known");
-    let (endpoint, trap) = (Peer::new(|_| ok()), trap());
-    let entries = large_list(&mut random, &trap, &[ready("e-1", endpoint.address, 7)]);
+    let mut random = seeded_random("nothing known");
+    let (endpoint, forbidden) = (Peer::new(|_| ok()), forbidden());
+    let entries = large_list(&mut random, &forbidden, &[ready("e-1", endpoint.address, 7)]);
     let discovery = LargeDiscovery::new(5, body(5, &entries));
     let gate = Gate::default();
     discovery.deliver(Delivery::until(0.5, Then::Close));
@@ -606,11 +607,11 @@
     gate.open();
     node.until("the sender is healthy", || node.health() == Some(200));
     assert_delivered(&node, &endpoint, "whole", 7);
-    assert!(trap.seen().is_empty());
+    assert!(forbidden.seen().is_empty());
 }
 
 /// Returns an entry with its fields in random order and unknown fields between them.
-fn shuffled(random: &mut fastrand::Rng, entry: &Value) -> String {
+fn with_shuffled_fields(random: &mut fastrand::Rng, entry: &Value) -> String {
     let mut fields: Vec<String> =
         entry.as_object().unwrap().iter().map(|(name, value)| format!("{}:{value}", json!(name))).collect();
     fields.push(r#""labels":{"instanceId":"no-name","cell":[1,{"cell":3}],"x":null}"#.into());
@@ -661,19 +662,19 @@
 
 #[test]
 fn malformed_entries_of_large_list_affect_only_themselves() {
-    const MOST: u64 = u64::MAX;
-    let mut random = seeded("odd entries");
-    let (endpoint, other, trap) = (Peer::new(|_| ok()), Peer::new(|_| ok()), trap());
+    const MAX_NUMBER: u64 = u64::MAX;
+    let mut random = seeded_random("odd entries");
+    let (endpoint, other, forbidden) = (Peer::new(|_| ok()), Peer::new(|_| ok()), forbidden());
     let longest = "n".repeat(64);
     let used = [
-        instance(&longest, endpoint.address, MOST, "plain", "Ready"),
+        instance(&longest, endpoint.address, MAX_NUMBER, "plain", "Ready"),
         instance("e-é", endpoint.address, 2, "plain", "Ready"),
         instance("asleep", endpoint.address, 3, "plain", "Asleep"),
         // Each of these is listed twice, and the last entry counts.
-        ready("twice", trap.address, 4),
-        ready("moved", trap.address, 5),
+        ready("twice", forbidden.address, 4),
+        ready("moved", forbidden.address, 5),
     ];
-    let mut entries = large_list(&mut random, &trap, &used);
+    let mut entries = large_list(&mut random, &forbidden, &used);
     place_in_last_quarter(
         &mut random,
         &mut entries,
@@ -681,22 +682,22 @@
     );
     for entry in entries.iter_mut().step_by(7) {
         let read: Value = serde_json::from_str(entry).unwrap();
-        *entry = shuffled(&mut random, &read);
+        *entry = with_shuffled_fields(&mut random, &read);
     }
-    for entry in unreadable_entries(trap.address) {
+    for entry in unreadable_entries(forbidden.address) {
         entries.insert(random.usize(..entries.len()), entry);
     }
     // The generation may follow the entries.
     let text = format!(
-        "{{\r\n\t\"instances\" : [ {} ] , \"more\":[{{}}], \"reset\": true, \"generation\":{MOST} }}\n",
+        "{{\r\n\t\"instances\" : [ {} ] , \"more\":[{{}}], \"reset\": true, \"generation\":{MAX_NUMBER} }}\n",
         entries.join(" ,\n")
     );
-    let discovery = LargeDiscovery::new(MOST, text.into_bytes());
+    let discovery = LargeDiscovery::new(MAX_NUMBER, text.into_bytes());
     let mut node = Node::prepare(discovery.address, json!([]), with_control);
     node.launch();
     node.until("the sender is healthy", || node.health() == Some(200));
-    discovery.wait_watch(MOST);
-    assert_delivered(&node, &endpoint, "largest number", MOST);
+    discovery.wait_watch(MAX_NUMBER);
+    assert_delivered(&node, &endpoint, "largest number", MAX_NUMBER);
     assert_delivered(&node, &endpoint, "beyond ascii", 2);
     assert_delivered(&node, &other, "the last of two", 4);
     assert_delivered(&node, &other, "moved", 6);
@@ -708,20 +709,20 @@
     assert_eq!(node.call(&format!("PUT /endpoints/{longest}n/maint")), 404);
     assert_eq!(node.call("PUT /endpoints/bad/maint"), 404);
     assert_eq!(node.call("PUT /endpoints/no-name/maint"), 404);
-    assert_not_served(&node, &discovery, "taken out", MOST);
+    assert_not_served(&node, &discovery, "taken out", MAX_NUMBER);
     assert_eq!(discovery.whole_lists().len(), 1);
-    assert!(trap.seen().is_empty(), "{:?}", trap.seen());
+    assert!(forbidden.seen().is_empty(), "{:?}", forbidden.seen());
 }
 
 #[test]
 fn serves_destination_with_ten_thousand_endpoints() {
     const ENDPOINTS: usize = 10_000;
     const MESSAGES: usize = 60;
-    let mut random = seeded("one destination");
-    let (peers, trap) = ([(); 4].map(|()| Peer::new(|_| ok())), trap());
+    let mut random = seeded_random("one destination");
+    let (peers, forbidden) = ([(); 4].map(|()| Peer::new(|_| ok())), forbidden());
     let of_it = |i: usize| ready(&format!("d-{i}"), peers[i % peers.len()].address, 7).to_string();
     let mut entries: Vec<String> = (0..ENDPOINTS).map(of_it).collect();
-    entries.append(&mut fillers(&mut random, &trap, LARGE - ENDPOINTS));
+    entries.append(&mut fillers(&mut random, &forbidden, LARGE_LIST_ENTRIES - ENDPOINTS));
     random.shuffle(&mut entries);
     let discovery = LargeDiscovery::new(5, body(5, &entries));
     let node = start_with_known_list(&discovery, &[], allow_many_messages);
@@ -752,17 +753,17 @@
     assert_eq!(after[1..], before[1..], "withdrawn endpoints were called");
     assert_lists_came_on_one_connection(&discovery);
     assert!(discovery.notices().is_empty(), "{:?}", discovery.notices());
-    assert!(trap.seen().is_empty());
+    assert!(forbidden.seen().is_empty());
 }
 
 #[test]
 fn messages_are_delivered_while_large_list_arrives_and_later_change_is_applied() {
-    let mut random = seeded("flow");
-    let (one, other, moved, late_one, trap) =
-        (Peer::new(|_| ok()), Peer::new(|_| ok()), Peer::new(|_| ok()), Peer::new(|_| ok()), trap());
+    let mut random = seeded_random("flow");
+    let (one, other, moved, late_one, forbidden) =
+        (Peer::new(|_| ok()), Peer::new(|_| ok()), Peer::new(|_| ok()), Peer::new(|_| ok()), forbidden());
     let before = [ready("e-1", one.address, 7), ready("e-2", other.address, 8)];
     let listed = [before[0].clone(), before[1].clone(), ready("e-3", one.address, 9)];
-    let mut entries = large_list(&mut random, &trap, &listed);
+    let mut entries = large_list(&mut random, &forbidden, &listed);
     place_in_last_quarter(&mut random, &mut entries, &[ready("e-4", late_one.address, 10)]);
     let discovery = LargeDiscovery::new(5, body(5, &entries));
     let gate = Gate::default();
@@ -790,16 +791,20 @@
     assert_delivered(&node, &moved, "added", 11);
     assert_not_served(&node, &discovery, "gone", 9);
     assert_eq!(discovery.complete_whole_lists().len(), 1, "the change did not need another whole list");
-    assert_eq!((one.seen().len(), trap.seen().len()), (25, 0));
+    assert_eq!((one.seen().len(), forbidden.seen().len()), (25, 0));
 }
 
 #[test]
 fn messages_of_destination_removed_by_change_wait_until_it_returns_or_they_expire() {
-    let mut random = seeded("leaves by a change");
-    let (moved, idle, trap) = (Peer::new(|_| ok()), Peer::new(|_| ok()), trap());
+    let mut random = seeded_random("leaves by a change");
+    let (moved, idle, forbidden) = (Peer::new(|_| ok()), Peer::new(|_| ok()), forbidden());
     let waits = Peer::new(|_| answer("429 Wait", "Retry-After: 1\r\n", ""));
-    let used = [ready("e-1", waits.address, 7), ready("e-2", trap.address, 8), ready("e-3", trap.address, 9)];
-    let discovery = LargeDiscovery::new(5, body(5, &large_list(&mut random, &trap, &used)));
+    let used = [
+        ready("e-1", waits.address, 7),
+        ready("e-2", forbidden.address, 8),
+        ready("e-3", forbidden.address, 9),
+    ];
+    let discovery = LargeDiscovery::new(5, body(5, &large_list(&mut random, &forbidden, &used)));
     let node = start_with_known_list(&discovery, &[], |_| {});
     discovery.wait_watch(5);
     hand_in_accepted(&node, "held", 7, LONG_MS);
@@ -808,7 +813,7 @@
         instance("e-1", waits.address, 7, "plain", "Gone"),
         // No message has been handed in for these destinations yet.
         ready("e-2", idle.address, 8),
-        instance("e-3", trap.address, 9, "plain", "Terminating"),
+        instance("e-3", forbidden.address, 9, "plain", "Terminating"),
     ]);
     discovery.wait_watch(generation);
     let calls = waits.seen().len();
@@ -821,20 +826,20 @@
     discovery.wait_watch(generation);
     moved.wait_for("held", 1);
     assert_delivered(&node, &moved, "back", 7);
-    assert_eq!((waits.seen().len(), trap.seen().len()), (calls, 0));
+    assert_eq!((waits.seen().len(), forbidden.seen().len()), (calls, 0));
 }
 
 #[test]
 fn endpoints_that_change_destination_are_called_only_for_new_one() {
-    let mut random = seeded("names that move");
-    let (one, other, third, fourth, trap) =
-        (Peer::new(|_| ok()), Peer::new(|_| ok()), Peer::new(|_| ok()), Peer::new(|_| ok()), trap());
+    let mut random = seeded_random("names that move");
+    let (one, other, third, fourth, forbidden) =
+        (Peer::new(|_| ok()), Peer::new(|_| ok()), Peer::new(|_| ok()), Peer::new(|_| ok()), forbidden());
     let listed = |a: (&Peer, u64), b: (&Peer, u64), c: (&Peer, u64)| {
         [("a", a), ("b", b), ("c", c)]
             .map(|(name, (peer, destination))| ready(name, peer.address, destination))
     };
-    let first = large_list(&mut random, &trap, &listed((&one, 7), (&other, 8), (&third, 9)));
-    let second = large_list(&mut random, &trap, &listed((&one, 8), (&fourth, 9), (&third, 7)));
+    let first = large_list(&mut random, &forbidden, &listed((&one, 7), (&other, 8), (&third, 9)));
+    let second = large_list(&mut random, &forbidden, &listed((&one, 8), (&fourth, 9), (&third, 7)));
     let discovery = LargeDiscovery::new(5, body(5, &first));
     let node = start_with_known_list(&discovery, &[], |_| {});
     discovery.wait_watch(5);
@@ -854,7 +859,7 @@
     assert_not_served(&node, &discovery, "third-9", 9);
     assert_delivered(&node, &fourth, "third-10", 10);
     assert_delivered(&node, &fourth, "third-11", 11);
-    let counts = [&one, &other, &third, &fourth, &trap].map(|peer| delivered_once(peer).len());
+    let counts = [&one, &other, &third, &fourth, &forbidden].map(|peer| delivered_once(peer).len());
     assert_eq!(counts, [2, 1, 3, 3, 0]);
     // One endpoint moves to a destination that has messages and other endpoints, and leaves one without any.
     let generation = discovery.change(vec![ready("b", one.address, 7), ready("c", one.address, 10)]);
@@ -865,17 +870,17 @@
         hand_in_accepted(&node, &format!("fourth-10-{i}"), 10, LONG_MS);
     }
     node.until("all are delivered", || one.seen().len() + fourth.seen().len() >= 3 + 3 + 8);
-    assert_eq!([&other, &third, &trap].map(|peer| delivered_once(peer).len()), [1, 3, 0]);
+    assert_eq!([&other, &third, &forbidden].map(|peer| delivered_once(peer).len()), [1, 3, 0]);
 }
 
 #[test]
 fn replaced_list_applies_to_all_active_destinations() {
     const ACTIVE: u64 = 300;
-    let mut random = seeded("many active");
-    let (old, new, trap) = (Peer::new(|_| ok()), Peer::new(|_| ok()), trap());
+    let mut random = seeded_random("many active");
+    let (old, new, forbidden) = (Peer::new(|_| ok()), Peer::new(|_| ok()), forbidden());
     let listed = |random: &mut fastrand::Rng, generation: u64, peer: &Peer| {
         let used: Vec<Value> = (0..ACTIVE).map(|d| ready(&format!("e-{d}"), peer.address, d)).collect();
-        body(generation, &large_list(random, &trap, &used))
+        body(generation, &large_list(random, &forbidden, &used))
     };
     let discovery = LargeDiscovery::new(5, listed(&mut random, 5, &old));
     let node = start_with_known_list(&discovery, &[], allow_many_messages);
@@ -889,7 +894,7 @@
     discovery.replace(6, listed(&mut random, 6, &new));
     discovery.wait_watch(6);
     to_each(&new, "after");
-    assert_eq!((old.seen().len() as u64, trap.seen().len()), (ACTIVE, 0));
+    assert_eq!((old.seen().len() as u64, forbidden.seen().len()), (ACTIVE, 0));
 }
 
 /// Hands in one message for each destination, all over one connection. A message that is refused because the
@@ -918,11 +923,11 @@
     // More destinations than the number for which state is kept while they are idle.
     const USED: u64 = 3_000;
     const AGAIN: usize = 400;
-    let mut random = seeded("state dropped");
+    let mut random = seeded_random("state dropped");
     let (old, new) = (Peer::new(|_| ok()), Peer::new(|_| ok()));
     let listed = |generation: u64, peer: &Peer| {
         let entry = |d: usize| ready(&format!("e-{d}"), peer.address, d as u64).to_string();
-        body(generation, &(0..LARGE).map(entry).collect::<Vec<_>>())
+        body(generation, &(0..LARGE_LIST_ENTRIES).map(entry).collect::<Vec<_>>())
     };
     let discovery = LargeDiscovery::new(5, listed(5, &old));
     let node = start_with_known_list(&discovery, &[], allow_many_messages);
@@ -949,10 +954,11 @@
 
 #[test]
 fn learned_snapshot_covers_only_active_destinations_of_large_list() {
-    let mut random = seeded("learned");
-    let (one, other, third, trap) = (Peer::new(|_| ok()), Peer::new(|_| ok()), Peer::new(|_| ok()), trap());
+    let mut random = seeded_random("learned");
+    let (one, other, third, forbidden) =
+        (Peer::new(|_| ok()), Peer::new(|_| ok()), Peer::new(|_| ok()), forbidden());
     let used = [ready("e-1", one.address, 7), ready("e-2", other.address, 8), ready("e-3", third.address, 9)];
-    let mut entries = large_list(&mut random, &trap, &used);
+    let mut entries = large_list(&mut random, &forbidden, &used);
     let discovery = LargeDiscovery::new(5, body(5, &entries));
     let mut node = start_with_known_list(&discovery, &[], |c| c["store"] = json!({"learned_s": 1}));
     discovery.wait_watch(5);
@@ -964,7 +970,7 @@
     let before = written();
     node.until("a later snapshot is written", || written() > before);
     let size = std::fs::metadata(&learned).unwrap().len();
-    assert!(size < 100_000, "{size} bytes for two destinations of {LARGE}");
+    assert!(size < 100_000, "{size} bytes for two destinations of {LARGE_LIST_ENTRIES}");
     node.kill();
     // In another order the endpoints of the list get other numbers.
     random.shuffle(&mut entries);
@@ -975,7 +981,7 @@
     assert_delivered(&node, &other, "other again", 8);
     assert_delivered(&node, &third, "not learned of", 9);
     assert_delivered(&node, &one, "one again", 7);
-    let counts = [&one, &other, &third, &trap].map(|peer| delivered_once(peer).len());
+    let counts = [&one, &other, &third, &forbidden].map(|peer| delivered_once(peer).len());
     assert_eq!(counts, [2, 2, 1, 0]);
 }
 
@@ -1003,9 +1009,9 @@
     const DESTINATIONS: u64 = 6;
     const PEERS: usize = 4;
 
-    fn new(trap: &Peer) -> History {
-        let mut random = seeded("random history");
-        let fillers = fillers(&mut random, trap, 2_000);
+    fn new(forbidden: &Peer) -> History {
+        let mut random = seeded_random("random history");
+        let fillers = fillers(&mut random, forbidden, 2_000);
         let peers: Vec<Peer> = (0..Self::PEERS).map(|_| Peer::new(|_| ok())).collect();
         let discovery = LargeDiscovery::new(1, body(1, &fillers));
         let learns = random.bool();
@@ -1151,14 +1157,14 @@
 
 #[test]
 fn last_list_is_in_force_after_random_history() {
-    let trap = trap();
-    let mut history = History::new(&trap);
+    let forbidden = forbidden();
+    let mut history = History::new(&forbidden);
     let rounds = std::env::var("ROUNDS").ok().and_then(|r| r.parse().ok()).unwrap_or(12);
     for round in 0..rounds {
         history.step();
         history.check(round);
     }
-    assert!(trap.seen().is_empty(), "{:?}", trap.seen());
+    assert!(forbidden.seen().is_empty(), "{:?}", forbidden.seen());
 }
 
 /// Hands in messages until `end` is set; returns their ids.
@@ -1175,23 +1181,23 @@
 
 #[test]
 fn entirely_different_list_is_in_force_at_once_under_traffic() {
-    const LEFT_MS: u64 = 4_000;
-    let mut random = seeded("all differs");
+    const TIME_LEFT_MS: u64 = 4_000;
+    let mut random = seeded_random("all differs");
     let delay = SchedulingDelay::measure();
-    let (old, new, trap) = (Peer::new(|_| ok()), Peer::new(|_| ok()), trap());
+    let (old, new, forbidden) = (Peer::new(|_| ok()), Peer::new(|_| ok()), forbidden());
     // Its `Retry-After` is longer than its list is in force, so that its messages stay held.
     let waits = Peer::new(|_| answer("429 Wait", "Retry-After: 30\r\n", ""));
     let first =
-        large_list(&mut random, &trap, &[ready("o-1", old.address, 7), ready("o-2", waits.address, 8)]);
+        large_list(&mut random, &forbidden, &[ready("o-1", old.address, 7), ready("o-2", waits.address, 8)]);
     let second =
-        large_list(&mut random, &trap, &[ready("n-1", new.address, 7), ready("n-3", new.address, 9)]);
+        large_list(&mut random, &forbidden, &[ready("n-1", new.address, 7), ready("n-3", new.address, 9)]);
     let (first, second) = (body(5, &first), body(6, &second));
     let discovery = LargeDiscovery::new(5, first);
     let node = start_with_known_list(&discovery, &[], allow_many_messages);
     discovery.wait_watch(5);
     let handed_in = Instant::now();
     for i in 0..5 {
-        assert_eq!(node.hand_in("order", &format!("h{i}"), 8, LEFT_MS, b"x"), 202);
+        assert_eq!(node.hand_in("order", &format!("h{i}"), 8, TIME_LEFT_MS, b"x"), 202);
     }
     waits.wait("a call that is answered with Retry-After", |seen| !seen.is_empty());
     let (end, gate) = (AtomicBool::new(false), Gate::default());
@@ -1236,26 +1242,27 @@
         let (at, notice) = discovery.wait_notice(&format!("h{i}"));
         assert_eq!(notice["outcome"], "handed_back");
         let took = at - handed_in;
-        assert!(took <= Duration::from_millis(LEFT_MS + 300) + BUSY_ALLOWANCE, "{took:?}");
+        assert!(took <= Duration::from_millis(TIME_LEFT_MS + 300) + BUSY_ALLOWANCE, "{took:?}");
     }
     let calls = |id: &str| old.seen().iter().chain(&new.seen()).filter(|r| r.id() == id).count();
     node.until("all messages are delivered", || ids.iter().all(|id| calls(id) >= 1));
     assert!(ids.iter().all(|id| calls(id) == 1), "some messages were sent twice");
     assert!(discovery.notices().iter().all(|n| n["message"].as_str().unwrap().starts_with('h')));
-    assert!(trap.seen().is_empty());
+    assert!(forbidden.seen().is_empty());
 }
 
 #[test]
 fn sighup_during_list_drops_it_and_fetches_whole_list_from_new_address() {
-    let mut random = seeded("SIGHUP");
-    let (before, never, new, trap) = (Peer::new(|_| ok()), Peer::new(|_| ok()), Peer::new(|_| ok()), trap());
+    let mut random = seeded_random("SIGHUP");
+    let (before, never, new, forbidden) =
+        (Peer::new(|_| ok()), Peer::new(|_| ok()), Peer::new(|_| ok()), forbidden());
     let listed = ready("o-1", before.address, 7);
-    let entries = large_list(&mut random, &trap, &[listed.clone(), ready("h-1", never.address, 8)]);
+    let entries = large_list(&mut random, &forbidden, &[listed.clone(), ready("h-1", never.address, 8)]);
     let old = LargeDiscovery::new(50, body(50, &entries));
     let gate = Gate::default();
     old.deliver(Delivery::until(0.6, Then::Hold(gate.clone())));
     // The new address counts its own generations.
-    let entries = large_list(&mut random, &trap, &[ready("n-1", new.address, 9)]);
+    let entries = large_list(&mut random, &forbidden, &[ready("n-1", new.address, 9)]);
     let moved_to = LargeDiscovery::new(3, body(3, &entries));
     let mut node = start_with_known_list(&old, &[listed], |_| {});
     old.wait_held();
@@ -1275,7 +1282,7 @@
     assert_delivered(&node, &new, "still", 9);
     assert_eq!((old.complete_whole_lists().len(), moved_to.whole_lists().len()), (0, 1));
     wait_for_reading_thread_to_end(&node);
-    assert!(before.seen().is_empty() && never.seen().is_empty() && trap.seen().is_empty());
+    assert!(before.seen().is_empty() && never.seen().is_empty() && forbidden.seen().is_empty());
 }
 
 /// A sender that is receiving a large list, with messages for a destination that only that list names.
@@ -1284,17 +1291,17 @@
     discovery: LargeDiscovery,
     gate: Gate,
     endpoint: Peer,
-    trap: Peer,
+    forbidden: Peer,
 }
 
 impl ReceivingList {
     const HELD: usize = 10;
 
     fn new(test: &str) -> ReceivingList {
-        let mut random = seeded(test);
-        let (endpoint, trap) = (Peer::new(|_| ok()), trap());
+        let mut random = seeded_random(test);
+        let (endpoint, forbidden) = (Peer::new(|_| ok()), forbidden());
         let known = ready("o-1", endpoint.address, 7);
-        let mut entries = large_list(&mut random, &trap, std::slice::from_ref(&known));
+        let mut entries = large_list(&mut random, &forbidden, std::slice::from_ref(&known));
         place_in_last_quarter(&mut random, &mut entries, &[ready("n-1", endpoint.address, 8)]);
         let discovery = LargeDiscovery::new(5, body(5, &entries));
         let gate = Gate::default();
@@ -1304,7 +1311,7 @@
         (0..Self::HELD).for_each(|i| hand_in_accepted(&node, &format!("m{i}"), 8, LONG_MS));
         assert_delivered(&node, &endpoint, "known", 7);
         wait_until_caught_up(&node, &endpoint, 7);
-        ReceivingList { node, discovery, gate, endpoint, trap }
+        ReceivingList { node, discovery, gate, endpoint, forbidden }
     }
 
     /// Restarts the sender with the same folder and checks that the accepted messages are delivered once.
@@ -1322,7 +1329,7 @@
         assert_eq!(delivered_once(&self.endpoint).len(), Self::HELD + 3);
         assert_eq!(self.discovery.complete_whole_lists().len(), 1);
         assert!(self.discovery.notices().is_empty(), "{:?}", self.discovery.notices());
-        assert!(self.trap.seen().is_empty());
+        assert!(self.forbidden.seen().is_empty());
     }
 }
 
@@ -1336,9 +1343,9 @@
 
 #[test]
 fn sigterm_during_first_list_ends_process_without_known_list() {
-    let mut random = seeded("SIGTERM, nothing known");
-    let (delay, trap) = (SchedulingDelay::measure(), trap());
-    let entries = large_list(&mut random, &trap, &[]);
+    let mut random = seeded_random("SIGTERM, nothing known");
+    let (delay, forbidden) = (SchedulingDelay::measure(), forbidden());
+    let entries = large_list(&mut random, &forbidden, &[]);
     let discovery = LargeDiscovery::new(5, body(5, &entries));
     discovery.deliver(Delivery::until(0.5, Then::Hold(Gate::default())));
     let mut node = Node::prepare(discovery.address, json!([]), |_| {});
@@ -1356,13 +1363,13 @@
 
 #[test]
 fn maintenance_lasts_across_restart_and_replaced_large_lists() {
-    let mut random = seeded("maintenance");
-    let (one, other, trap) = (Peer::new(|_| ok()), Peer::new(|_| ok()), trap());
+    let mut random = seeded_random("maintenance");
+    let (one, other, forbidden) = (Peer::new(|_| ok()), Peer::new(|_| ok()), forbidden());
     let (e1, e2) = (ready("e-1", one.address, 7), ready("e-2", other.address, 7));
     let idle = Peer::new(|_| ok());
     let e3 = ready("e-3", idle.address, 8);
     let list = |random: &mut fastrand::Rng, generation: u64, used: &[Value]| {
-        body(generation, &large_list(random, &trap, used))
+        body(generation, &large_list(random, &forbidden, used))
     };
     let discovery = LargeDiscovery::new(5, list(&mut random, 5, &[e1.clone(), e2.clone(), e3]));
     let mut node = Node::prepare(discovery.address, json!([]), with_control);
@@ -1407,7 +1414,7 @@
     assert_eq!(node.call("PUT /endpoints/e-1/ready"), 200);
     one.wait_for("waits", 1);
     several(&node, &one, "put back", 3);
-    assert!(trap.seen().is_empty());
+    assert!(forbidden.seen().is_empty());
 }
 
 /// A sender with a large list and a call in flight whose answer the endpoint holds back, ready for an
@@ -1417,15 +1424,15 @@
     discovery: LargeDiscovery,
     slow: Peer,
     quick: Peer,
-    trap: Peer,
+    forbidden: Peer,
     gate: Gate,
     entries: Vec<String>,
 }
 
 impl SenderBeforeUpgrade {
     fn new(test: &str) -> SenderBeforeUpgrade {
-        let mut random = seeded(test);
-        let (quick, trap, gate) = (Peer::new(|_| ok()), trap(), Gate::default());
+        let mut random = seeded_random(test);
+        let (quick, forbidden, gate) = (Peer::new(|_| ok()), forbidden(), Gate::default());
         let (wait, called) = (gate.clone(), Arc::new(AtomicBool::new(false)));
         let call = called.clone();
         let slow = Peer::new(move |_| {
@@ -1438,10 +1445,13 @@
         });
         let used = [ready("e-1", slow.address, 1), ready("e-2", quick.address, 2)];
         // Less than 4 MiB, which every version accepts.
-        let mut entries = fillers(&mut random, &trap, 20_000);
+        let mut entries = fillers(&mut random, &forbidden, 20_000);
         place_in_first_quarter(&mut random, &mut entries, &used);
-        let not_active =
-            [ready("e-3", quick.address, 3), ready("e-4", quick.address, 4), ready("e-5", trap.address, 5)];
+        let not_active = [
+            ready("e-3", quick.address, 3),
+            ready("e-4", quick.address, 4),
+            ready("e-5", forbidden.address, 5),
+        ];
         place_in_last_quarter(&mut random, &mut entries, &not_active);
         let discovery = LargeDiscovery::new(5, body(5, &entries));
         let mut node = Node::prepare(discovery.address, json!([]), with_control);
@@ -1453,7 +1463,7 @@
         // No list names its destination yet.
         hand_in_accepted(&node, "held", 9, LONG_MS);
         assert_eq!(node.call("PUT /endpoints/e-5/maint"), 200);
-        SenderBeforeUpgrade { node, discovery, slow, quick, trap, gate, entries }
+        SenderBeforeUpgrade { node, discovery, slow, quick, forbidden, gate, entries }
     }
 
     /// Checks what must hold once the handover is complete and the new process has its list.
@@ -1477,7 +1487,7 @@
         let notices = self.discovery.notices();
         assert!(notices.iter().all(|n| n["message"] == "taken out"), "{notices:?}");
         delivered_once(&self.quick);
-        assert!(self.trap.seen().is_empty(), "{:?}", self.trap.seen());
+        assert!(self.forbidden.seen().is_empty(), "{:?}", self.forbidden.seen());
     }
 }
 
@@ -1540,7 +1550,7 @@
     let generation = up.discovery.change(vec![ready("e-9", up.quick.address, 9)]);
     up.discovery.wait_watch(generation);
     up.quick.wait_for("held", 1);
-    assert!(up.trap.seen().is_empty(), "{:?}", up.trap.seen());
+    assert!(up.forbidden.seen().is_empty(), "{:?}", up.forbidden.seen());
 }
 
 #[test]
