--- a/src/bin/sender/core.rs
+++ b/src/bin/sender/core.rs
@@ -1,6 +1,6 @@
 //! The event loop around the policy: it gathers inputs, has the policy decide, writes the journal and carries
 //! out the actions. It makes no decisions itself.
-use crate::client::{self, Client, Member};
+use crate::client::{self, CallMember, EndpointClient};
 use crate::config::Config;
 use crate::directory::Directory;
 use crate::first_catalogue::FirstCatalogue;
@@ -86,7 +86,7 @@
     maintenance: Maintenance,
     snapshots: Option<SnapshotFile>,
     seed: u64,
-    client: Rc<Client>,
+    client: Rc<EndpointClient>,
     inbox: mpsc::Receiver<Input>,
     /// Inputs from the control address, which are read before those in `inbox`.
     control_inbox: mpsc::Receiver<Input>,
@@ -148,7 +148,7 @@
         config: Config,
         journal: Journal<F>,
         maintenance: Maintenance,
-        (directory, client): (Rc<Directory>, Rc<Client>),
+        (directory, client): (Rc<Directory>, Rc<EndpointClient>),
         inbox: mpsc::Receiver<Input>,
         control_inbox: mpsc::Receiver<Input>,
         notices: mpsc::UnboundedSender<Notice>,
@@ -201,7 +201,7 @@
     pub fn start(&mut self, known: Catalogue, state: Option<HandoverState>) -> Start {
         let handed = state.and_then(|state| self.restore_handover(state));
         let (first, handed_over) = match handed {
-            Some((numbered, held)) => (FirstCatalogue::handed_over(&numbered, known), Some(held)),
+            Some((numbered, held)) => (FirstCatalogue::after_handover(&numbered, known), Some(held)),
             None => (self.restore_snapshot(known), None),
         };
         self.list_incomplete = first.is_partial();
@@ -223,7 +223,7 @@
         self.attempts_in_flight = calls
             .map(|(call, endpoint)| (call, AttemptInFlight { endpoint, cancel: Rc::default() }))
             .collect();
-        self.client.thaw(state.idle_bounds);
+        self.client.restore_idle_bounds(state.idle_bounds);
         Some((state.catalogue, state.held))
     }
 
@@ -237,11 +237,11 @@
     /// Continues from the last snapshot, if there is a usable one.
     fn restore_snapshot(&mut self, known: Catalogue) -> FirstCatalogue {
         let Some(snapshot) = self.snapshots.as_ref().and_then(|s| s.read(unix_time_ns())) else {
-            return FirstCatalogue::known(known);
+            return FirstCatalogue::from_known_list(known);
         };
         self.policy = snapshot.policy.after_restart(self.settings.clone(), self.seed);
         self.continue_clock(snapshot.clock);
-        FirstCatalogue::restarted(&snapshot.numbers.endpoints, snapshot.numbers.next_id, known)
+        FirstCatalogue::after_restart(&snapshot.numbers.endpoints, snapshot.numbers.next_id, known)
     }
 
     fn write_snapshot_if_due(&mut self) {
@@ -445,7 +445,7 @@
                 .map(|(&(id, number), attempt)| (id, number, attempt.endpoint))
                 .collect(),
             next_id: self.next_id,
-            idle_bounds: self.client.freeze(),
+            idle_bounds: self.client.stop_new_calls(),
         };
         drop(self.journal);
         let _ = reply.send(Some(state));
@@ -479,7 +479,7 @@
             if self.maintained.insert(name.clone(), endpoint) == Some(endpoint) {
                 continue;
             }
-            self.client.take_out(endpoint, back_at.is_none());
+            self.client.set_maintenance(endpoint, back_at.is_none());
             events.push(Event::Maint { endpoint, out: true, at: now });
             if let Some(back_at) = back_at {
                 let ago = (unix_ms - back_at).max(0).saturating_mul(MS).min(CLOCK_START);
@@ -501,7 +501,7 @@
                 // An endpoint that has left the list may return with the number that it had.
                 if let Some(endpoint) = listed.or_else(|| self.maintained.get(name).copied()) {
                     self.maintained.insert(name.to_string(), endpoint);
-                    self.client.take_out(endpoint, out);
+                    self.client.set_maintenance(endpoint, out);
                     events.push(Event::Maint { endpoint, out, at: self.policy_time(Instant::now()) });
                 }
                 MaintenanceReply::Done
@@ -520,7 +520,7 @@
         if whole {
             release(before);
         }
-        self.client.follow_list();
+        self.client.close_outdated_connections();
         self.apply_maintenance(events);
         if whole {
             self.on_demand.directory_replaced(&self.policy, &*self.directory, events);
@@ -566,7 +566,7 @@
                 Input::HealthCheck(reply) => {
                     let ready = self.write_failed_at.is_none()
                         && self.shut_down_at.is_none()
-                        && self.client.has_usable();
+                        && self.client.has_callable_endpoint();
                     let _ = reply.send(ready);
                 }
                 Input::Maintenance { name, out, reply } => {
@@ -580,7 +580,7 @@
             self.policy.handle(now, &events, &mut actions);
         }
         self.on_demand.events_handled();
-        let mut calls: Vec<(EndpointId, Vec<Member>)> = Vec::new();
+        let mut calls: Vec<(EndpointId, Vec<CallMember>)> = Vec::new();
         let mut started = Vec::new();
         let mut failed = Vec::new();
         let mut refused = Vec::new();
@@ -593,7 +593,7 @@
                     let name = self.directory.catalogue().get(endpoint).map(|e| e.name.to_string());
                     let Some(name) = name else {
                         // The endpoint has left the list in this round.
-                        let end = client::end_of(id, attempt, endpoint, Outcome::NotSent, started_at);
+                        let end = client::attempt_end(id, attempt, endpoint, Outcome::NotSent, started_at);
                         self.next_events.push(Event::AttemptEnd(end));
                         continue;
                     };
@@ -616,9 +616,15 @@
                     started.push(Record::AttemptStarted(id, record));
                     let limit = if limit > 0 { (now + limit).min(deadline) } else { deadline };
                     let (end, limit, by) = (self.instant(deadline), self.instant(limit), self.instant(by));
-                    let member = Member { attempt, taken: message, end, limit, by };
+                    let member = CallMember {
+                        attempt,
+                        message,
+                        deadline: end,
+                        attempt_deadline: limit,
+                        send_before: by,
+                    };
                     // Grouped as the policy counts them: sends to one endpoint in one round share calls.
-                    let batch = self.directory.batch(endpoint);
+                    let batch = self.directory.max_batch(endpoint);
                     match calls.iter_mut().rev().find(|(e, _)| *e == endpoint) {
                         Some((_, members)) if members.len() < batch => members.push(member),
                         _ => calls.push((endpoint, vec![member])),
@@ -690,7 +696,7 @@
             }
             for (endpoint, members) in calls {
                 for m in members {
-                    let end = client::end(&m, endpoint, Outcome::NotSent, Instant::now());
+                    let end = client::member_end(&m, endpoint, Outcome::NotSent, Instant::now());
                     self.next_events.push(Event::AttemptEnd(end));
                 }
             }
@@ -708,7 +714,7 @@
             let cancel = Rc::new(CancellationToken::default());
             for m in &members {
                 self.attempts_in_flight
-                    .insert((m.taken.id, m.attempt), AttemptInFlight { endpoint, cancel: cancel.clone() });
+                    .insert((m.message.id, m.attempt), AttemptInFlight { endpoint, cancel: cancel.clone() });
             }
             tokio::task::spawn_local(self.client.clone().call(endpoint, members, cancel));
         }
--- a/src/bin/sender/core/tests.rs
+++ b/src/bin/sender/core/tests.rs
@@ -249,7 +249,7 @@
     let (_, control_inbox) = mpsc::channel(1);
     let (notices, _) = mpsc::unbounded_channel();
     let directory = Rc::new(Directory::new(&config.program_settings, &config.settings.kinds));
-    let client = Client::new(core_in.clone(), directory.clone(), 1_000_000_000, 20_000_000_000, 32);
+    let client = EndpointClient::new(core_in.clone(), directory.clone(), 1_000_000_000, 20_000_000_000, 32);
     let listed = (directory, Rc::new(client));
     let maintenance = Maintenance::open(folder, 1).unwrap();
     let mut core =
@@ -460,7 +460,7 @@
         core_in.try_send(Input::Catalogue(second)).unwrap();
         core_in.try_send(Input::HandOver(reply)).unwrap();
         let state = state.await.unwrap().expect("the core hands over");
-        let told = new.ids().filter(|&endpoint| state.policy.knows_endpoint(endpoint)).count();
-        assert_eq!(told as u64, DESTINATIONS);
+        let known = new.ids().filter(|&endpoint| state.policy.knows_endpoint(endpoint)).count();
+        assert_eq!(known as u64, DESTINATIONS);
     });
 }
--- a/src/bin/sender/handover.rs
+++ b/src/bin/sender/handover.rs
@@ -8,12 +8,12 @@
 //! From then on the old process decides nothing. It finishes its calls in flight, reports how they ended, and
 //! forwards the messages and operators' calls that still reach it. If the new process dies, the old one
 //! starts over from the journal. If the old one dies, its calls count as lost connections in the new one.
-use crate::client::end_of;
+use crate::client::attempt_end;
 use crate::input::{Input, MaintenanceReply, Reply};
 use crate::owner::Owner;
 use crate::process_state::{AttemptInFlight, HandoverState, RemainingWork};
 use crate::process_state_v1::StateV1;
-use crate::server::{Moved, Server};
+use crate::server::{ClientConnection, Server};
 use bytes::Bytes;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -319,18 +319,18 @@
 }
 
 /// Hands over to the new process, and forwards what still reaches this one until the new process dies or this
-/// one is told to end (`told`), and then for `grace` at most.
+/// one is told to end (`terminated`), and then for `grace` at most.
 pub async fn serve_successor(
     successor: Successor,
     (state, listener): (HandoverState, &TcpListener),
     work: RemainingWork,
     server: Rc<Server>,
-    mut moved: mpsc::UnboundedReceiver<Moved>,
-    (told, grace): (impl Future<Output = ()>, Duration),
+    mut moved: mpsc::UnboundedReceiver<ClientConnection>,
+    (terminated, grace): (impl Future<Output = ()>, Duration),
 ) -> HandoverEnd {
     let Successor { mut reader, writer } = successor;
     let RemainingWork { mut inbox, mut control_inbox, mut attempts_in_flight } = work;
-    let mut told = pin!(told);
+    let mut terminated = pin!(terminated);
     let mut end_by: Option<Instant> = None;
     let mut number = 0;
     // Replies that callers wait for, by the number of their frame: at most one for each connection to this
@@ -349,14 +349,14 @@
         let in_progress = !attempts_in_flight.is_empty()
             || !submissions.is_empty()
             || !changes.is_empty()
-            || server.open.get() > 0;
+            || server.open_connections.get() > 0;
         let idle = !waiting && !in_progress;
         if end_by.is_some_and(|at| Instant::now() >= at || idle) {
             return HandoverEnd::Completed;
         }
         tokio::select! {
             biased;
-            () = &mut told, if end_by.is_none() => end_by = Some(Instant::now() + grace),
+            () = &mut terminated, if end_by.is_none() => end_by = Some(Instant::now() + grace),
             Some(input) = control_inbox.recv() => match input {
                 Input::HealthCheck(reply) => _ = reply.send(end_by.is_none()),
                 Input::Maintenance { name, out, reply } => {
@@ -367,7 +367,7 @@
                 _ => {}
             },
             Some(client) = moved.recv() => {
-                let Moved { stream, read, whole, stood } = client;
+                let ClientConnection { stream, buffered: read, had_request: whole, idle_time: stood } = client;
                 sent = writer
                     .send(&Frame::ClientConnection { read, whole, stood }, Some(stream.as_fd()))
                     .await;
@@ -472,7 +472,7 @@
         let ends: Vec<AttemptEnd> = attempts_in_flight
             .iter()
             .map(|(&(id, attempt), in_flight)| {
-                end_of(id, attempt, in_flight.endpoint, Outcome::ConnectionLost, started)
+                attempt_end(id, attempt, in_flight.endpoint, Outcome::ConnectionLost, started)
             })
             .collect();
         tracing::info!(calls = ends.len(), "the process before has ended");
--- a/src/bin/sender/main.rs
+++ b/src/bin/sender/main.rs
@@ -173,14 +173,14 @@
     let max_endpoint_connections = (settings.slots * 2 + 32).max(sockets / 4).min(sockets * 3 / 8);
     let directory = Rc::new(directory::Directory::new(&config.program_settings, &settings.kinds));
     let (dial, idle) = (settings.connect_timeout, settings.idle_timeout);
-    let client = Rc::new(client::Client::new(
+    let client = Rc::new(client::EndpointClient::new(
         core_in.clone(),
         directory.clone(),
         dial,
         idle,
         max_endpoint_connections,
     ));
-    spawn_local(client.clone().keep_pool());
+    spawn_local(client.clone().maintain_pool());
     let backoff = discovery::Backoff::new(settings.sender_count, config.seed);
     let (set_discovery, discovery) = watch::channel(config.discovery);
     let notice_task = spawn_local(notices::run(discovery.clone(), notices, core_in.clone()));
@@ -274,7 +274,7 @@
         watch_task.abort();
         notice_task.abort();
         accept_task.abort();
-        let _ = set_phase.send(server::Phase::Moving);
+        let _ = set_phase.send(server::Phase::HandingOver);
         let terminated = async {
             signals.received().await;
             control.serving.set(false);
@@ -294,9 +294,9 @@
     sleep(ACCEPT_UNTIL).await;
     let _ = set_phase.send(server::Phase::Closing);
     let _ = accept_task.await;
-    server.close(listener);
+    server.accept_queued_and_close(listener);
     let clients_gone = async {
-        while server.open.get() > 0 {
+        while server.open_connections.get() > 0 {
             sleep(Duration::from_millis(10)).await;
         }
     };
@@ -305,7 +305,7 @@
     let _ = timeout_at(terminated_at + END_BY, core_in.closed()).await;
     // Requests that the core has not taken are refused, and that reply still has to be written.
     let answered = async {
-        while server.owes_answers() {
+        while server.has_unanswered_requests() {
             sleep(Duration::from_millis(5)).await;
         }
     };
