--- a/src/bin/sender/control.rs
+++ b/src/bin/sender/control.rs
@@ -28,7 +28,7 @@
 /// second.
 const TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes of a request's body at most. No request needs one.
-const MAX_BODY: usize = 1 << 10;
+const MAX_BODY_BYTES: usize = 1 << 10;
 
 /// An open connection.
 struct ControlConnection {
@@ -120,7 +120,7 @@
         }
         // The body is read to its end: closing with unread data would reset the connection and could lose the
         // reply.
-        if Limited::new(body, MAX_BODY).collect().await.is_err() {
+        if Limited::new(body, MAX_BODY_BYTES).collect().await.is_err() {
             return Err(text_response(StatusCode::BAD_REQUEST, "the body is too long or can't be read\n"));
         }
         connection.received.set(true);
--- a/src/bin/sender/handover.rs
+++ b/src/bin/sender/handover.rs
@@ -50,9 +50,9 @@
 /// The pause before the old process is asked again, and between checks for its end.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// Bytes of the longest frame: the whole state, with room to spare.
-const MAX_FRAME: usize = 16 << 20;
+const MAX_FRAME_BYTES: usize = 16 << 20;
 /// Bytes of a frame's header: its length, and whether a descriptor is attached.
-const FRAME_HEADER: usize = 5;
+const FRAME_HEADER_BYTES: usize = 5;
 
 /// The messages between the two processes.
 #[derive(Serialize, Deserialize)]
@@ -119,7 +119,7 @@
 impl Writer {
     async fn send(&self, frame: &Frame, descriptor: Option<BorrowedFd<'_>>) -> io::Result<()> {
         let body = rmp_serde::to_vec_named(frame).map_err(io::Error::other)?;
-        let mut bytes = Vec::with_capacity(FRAME_HEADER + body.len());
+        let mut bytes = Vec::with_capacity(FRAME_HEADER_BYTES + body.len());
         bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
         bytes.push(descriptor.is_some() as u8);
         bytes.extend_from_slice(&body);
@@ -189,14 +189,16 @@
 
     /// Takes a frame from the buffer, if a whole one has been received.
     fn take<F: DeserializeOwned>(&mut self) -> io::Result<Option<(F, Option<OwnedFd>)>> {
-        let Some((head, rest)) = self.bytes.split_first_chunk::<FRAME_HEADER>() else { return Ok(None) };
+        let Some((head, rest)) = self.bytes.split_first_chunk::<FRAME_HEADER_BYTES>() else {
+            return Ok(None);
+        };
         let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-        if length > MAX_FRAME {
+        if length > MAX_FRAME_BYTES {
             return Err(io::Error::other("the frame is longer than 16 MiB"));
         }
         let (Some(body), has_descriptor) = (rest.get(..length), head[4] != 0) else { return Ok(None) };
         let frame = rmp_serde::from_slice(body).map_err(io::Error::other)?;
-        self.bytes.drain(..FRAME_HEADER + length);
+        self.bytes.drain(..FRAME_HEADER_BYTES + length);
         Ok(Some((frame, if has_descriptor { self.descriptors.pop_front() } else { None })))
     }
 }
--- a/src/bin/sender/journal.rs
+++ b/src/bin/sender/journal.rs
@@ -19,9 +19,9 @@
 use tokio::time::Instant;
 
 /// Bytes of a message's body at most.
-const MAX_BODY: usize = 64 << 10;
+const MAX_BODY_BYTES: usize = 64 << 10;
 /// Bytes of a message's class, tenant, id and key together at most.
-const MAX_TEXTS: usize = 4 * 256;
+const MAX_TEXT_BYTES: usize = 4 * 256;
 /// Share of the disk limit for the journal. The rest is for the other files in the state folder.
 const DISK_SHARE: f64 = 0.94;
 /// A number that no message has. Its end is written to test whether writing works again.
@@ -47,7 +47,7 @@
         LogConfig {
             owner: self.name.to_string(),
             max_bytes: (self.disk_mb * 1e6 * DISK_SHARE) as u64,
-            max_payload_bytes: payload::max_payload_bytes(MAX_BODY, MAX_TEXTS, self.attempts()),
+            max_payload_bytes: payload::max_payload_bytes(MAX_BODY_BYTES, MAX_TEXT_BYTES, self.attempts()),
             durable: self.sync != Sync::None,
         }
     }
@@ -100,8 +100,11 @@
             reserved,
             // The log always has room while less than half of its limit is live, not counting the longest
             // record, which may exceed a segment's end (property test of the store in `tests/folders.rs`).
-            capacity: (limit / 2)
-                .saturating_sub(payload::max_payload_bytes(MAX_BODY, MAX_TEXTS, max_attempts) as u64),
+            capacity: (limit / 2).saturating_sub(payload::max_payload_bytes(
+                MAX_BODY_BYTES,
+                MAX_TEXT_BYTES,
+                max_attempts,
+            ) as u64),
             max_attempts,
             sync: options.sync,
             synced_at: Instant::now(),
--- a/src/bin/sender/learned.rs
+++ b/src/bin/sender/learned.rs
@@ -18,7 +18,7 @@
 /// The previous version, which is still read. A file of any other version is ignored.
 const PREVIOUS_FORMAT: u32 = 1;
 /// Bytes of the checksum before the packed content.
-const CHECKSUM: usize = 4;
+const CHECKSUM_BYTES: usize = 4;
 /// An older snapshot says little of the platform's present state: its limits and shares are out of date.
 const MAX_AGE: Duration = Duration::from_secs(600);
 /// Share of the disk limit for a snapshot. While one is replaced there are two.
@@ -153,7 +153,7 @@
     fn try_write(&self, snapshot: &Snapshot) -> io::Result<()> {
         let content = (FORMAT, &self.name, crc32fast::hash(self.settings_json.as_bytes()), snapshot);
         let packed = rmp_serde::to_vec_named(&content).map_err(io::Error::other)?;
-        if CHECKSUM + packed.len() > self.max_bytes {
+        if CHECKSUM_BYTES + packed.len() > self.max_bytes {
             let why = format!(
                 "the snapshot has {} bytes; its share of the disk limit is {}",
                 packed.len(),
@@ -185,7 +185,7 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             bytes => bytes?,
         };
-        let (checksum, packed) = bytes.split_first_chunk::<CHECKSUM>().ok_or(Unusable::Damaged)?;
+        let (checksum, packed) = bytes.split_first_chunk::<CHECKSUM_BYTES>().ok_or(Unusable::Damaged)?;
         if crc32fast::hash(packed) != u32::from_le_bytes(*checksum) {
             return Err(Unusable::Damaged);
         }
--- a/src/bin/sender/learned/tests.rs
+++ b/src/bin/sender/learned/tests.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn reads_snapshot_of_previous_format() {
-    let (format, name, _, stored) = unpack(&FORMAT_1[CHECKSUM..]).unwrap();
+    let (format, name, _, stored) = unpack(&FORMAT_1[CHECKSUM_BYTES..]).unwrap();
     assert_eq!((format, name.as_str()), (PREVIOUS_FORMAT, "n0"));
     let names: Vec<(EndpointId, &str)> =
         stored.numbers.endpoints.iter().map(|(number, name)| (*number, name.as_str())).collect();
@@ -31,5 +31,5 @@
 fn ignores_snapshot_of_unknown_format_or_torn_one() {
     let packed = rmp_serde::to_vec_named(&(FORMAT + 1, "n0", 3u32, ())).unwrap();
     assert!(matches!(unpack(&packed), Err(Unusable::Damaged)));
-    assert!(matches!(unpack(&FORMAT_1[CHECKSUM..FORMAT_1.len() / 2]), Err(Unusable::Damaged)));
+    assert!(matches!(unpack(&FORMAT_1[CHECKSUM_BYTES..FORMAT_1.len() / 2]), Err(Unusable::Damaged)));
 }
--- a/src/records.rs
+++ b/src/records.rs
@@ -14,7 +14,7 @@
 
 /// Bytes of an endpoint's name at most; lists with longer names are refused, so that the size of a record is
 /// bounded.
-pub const MAX_ENDPOINT_NAME: usize = catalogue::MAX_NAME_BYTES;
+pub const MAX_ENDPOINT_NAME_BYTES: usize = catalogue::MAX_NAME_BYTES;
 
 /// Returns the current Unix time in milliseconds.
 pub fn unix_time_ms() -> i64 {
--- a/src/records/journal_file.rs
+++ b/src/records/journal_file.rs
@@ -7,28 +7,28 @@
 use std::rc::Rc;
 
 /// Bytes of a record's length and checksum.
-const FRAME_HEADER: usize = 8;
+const FRAME_HEADER_BYTES: usize = 8;
 /// Bytes of the longest record: a body of 64 KiB and its headers.
-const MAX_RECORD: usize = 256 << 10;
+const MAX_RECORD_BYTES: usize = 256 << 10;
 
 /// Decodes the record at the start of `bytes`; returns it with its length, or None where it is torn or
 /// damaged.
 fn decode(bytes: &[u8]) -> Option<(Record, usize)> {
     let word = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?) as usize);
     let length = word(0)?;
-    if !(4..=MAX_RECORD).contains(&length) {
+    if !(4..=MAX_RECORD_BYTES).contains(&length) {
         return None;
     }
-    let payload = bytes.get(FRAME_HEADER..FRAME_HEADER + length)?;
+    let payload = bytes.get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + length)?;
     if crc32fast::hash(payload) as usize != word(4)? {
         return None;
     }
-    let (head, body) = payload[4..].split_at_checked(word(FRAME_HEADER)?)?;
+    let (head, body) = payload[4..].split_at_checked(word(FRAME_HEADER_BYTES)?)?;
     let mut record = serde_json::from_slice(head).ok()?;
     if let Record::Accepted(message) = &mut record {
         Rc::get_mut(message)?.body = Bytes::copy_from_slice(body);
     }
-    Some((record, FRAME_HEADER + length))
+    Some((record, FRAME_HEADER_BYTES + length))
 }
 
 /// The readable content of a journal file.
@@ -66,8 +66,8 @@
     buffer.extend_from_slice(&(head.len() as u32).to_le_bytes());
     buffer.extend_from_slice(&head);
     buffer.extend_from_slice(body);
-    let checksum = crc32fast::hash(&buffer[start + FRAME_HEADER..]);
-    buffer[start + 4..start + FRAME_HEADER].copy_from_slice(&checksum.to_le_bytes());
+    let checksum = crc32fast::hash(&buffer[start + FRAME_HEADER_BYTES..]);
+    buffer[start + 4..start + FRAME_HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
 }
 
 /// Returns a journal file of these messages, from which a sender of that version can start.
--- a/src/records/payload.rs
+++ b/src/records/payload.rs
@@ -1,6 +1,6 @@
 //! The format of records in the log: a byte for the format version, then MessagePack with field names, then
 //! the body.
-use super::{AcceptedMessage, PendingMessage, Record, StartedAttempt, Undelivered, MAX_ENDPOINT_NAME};
+use super::{AcceptedMessage, PendingMessage, Record, StartedAttempt, Undelivered, MAX_ENDPOINT_NAME_BYTES};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
@@ -8,13 +8,14 @@
 
 const FORMAT: u8 = 1;
 /// Bytes before the head of a message: the format, and the head's length.
-const PREFIX: usize = 5;
+const PREFIX_BYTES: usize = 5;
 /// Upper bound in bytes of a message's first record without its texts and body.
-const MESSAGE_OVERHEAD: usize = 160;
+const MAX_MESSAGE_OVERHEAD_BYTES: usize = 160;
 /// Upper bound in bytes of the record of an attempt and that of it never having run.
-const ATTEMPT: usize = RECORD_HEADER_BYTES + 30 + MAX_ENDPOINT_NAME + RECORD_HEADER_BYTES + 16;
+const MAX_ATTEMPT_BYTES: usize =
+    RECORD_HEADER_BYTES + 30 + MAX_ENDPOINT_NAME_BYTES + RECORD_HEADER_BYTES + 16;
 /// Upper bound in bytes of the records of a message's end.
-const END: usize = 160;
+const MAX_END_BYTES: usize = 160;
 
 /// The head of the payload that holds a whole message.
 #[derive(Serialize, Deserialize)]
@@ -49,12 +50,16 @@
 
 /// Returns an upper bound in bytes of all records of a message together.
 pub fn max_log_bytes(message: &AcceptedMessage, max_attempts: usize) -> u64 {
-    (MESSAGE_OVERHEAD + text_bytes(message) + message.body.len() + ATTEMPT * max_attempts + END) as u64
+    (MAX_MESSAGE_OVERHEAD_BYTES
+        + text_bytes(message)
+        + message.body.len()
+        + MAX_ATTEMPT_BYTES * max_attempts
+        + MAX_END_BYTES) as u64
 }
 
 /// Returns the length of the longest payload, with a body of `body` bytes and `texts` bytes of names and ids.
 pub fn max_payload_bytes(body: usize, texts: usize, max_attempts: usize) -> usize {
-    MESSAGE_OVERHEAD + texts + body + ATTEMPT * max_attempts
+    MAX_MESSAGE_OVERHEAD_BYTES + texts + body + MAX_ATTEMPT_BYTES * max_attempts
 }
 
 /// Encodes everything that is known of a message as one payload.
@@ -65,7 +70,7 @@
         attempts: attempts.clone(),
         undelivered: *undelivered,
     });
-    let mut all = Vec::with_capacity(PREFIX + head.len() + accepted.body.len());
+    let mut all = Vec::with_capacity(PREFIX_BYTES + head.len() + accepted.body.len());
     all.push(FORMAT);
     all.extend_from_slice(&(head.len() as u32).to_le_bytes());
     all.extend_from_slice(&head);
@@ -154,7 +159,7 @@
                 let attempt = StartedAttempt {
                     number,
                     started_at_ms: i64::MIN,
-                    endpoint: text(MAX_ENDPOINT_NAME),
+                    endpoint: text(MAX_ENDPOINT_NAME_BYTES),
                     never_ran: true,
                 };
                 message.attempts.push(attempt.clone());
