--- a/crates/testbed/examples/readiness.rs
+++ b/crates/testbed/examples/readiness.rs
@@ -1,10 +1,10 @@
-//! Measures how long a sender takes to be ready after a crash, also as a multiple of the time to read its
-//! files once.
+//! Measures how long a sender takes to be ready after a crash, also as a multiple of the time to read its files
+//! once.
 //!
 //!     cargo run --release -p testbed --example readiness -- target/release/cairnpulley-sender [journal-file]
 //!
-//! With `journal-file` the state folders have the format from before the segmented log, to measure older
-//! senders or the conversion to the log.
+//! With `journal-file` the state folders have the format from before the segmented log, to measure older senders
+//! or the conversion to the log.
 use sender::records::pending::PendingMessages;
 use sender::records::{folder, journal_file, unix_time_ms, AcceptedMessage, PendingMessage};
 use serde_json::json;
@@ -25,10 +25,11 @@
 /// Time after which a sender counts as never ready.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn book(messages: u64) -> PendingMessages {
-    let mut book = PendingMessages::default();
-    for id in 0..messages {
-        let taken = AcceptedMessage {
+/// Returns `count` accepted messages without attempts.
+fn pending_messages(count: u64) -> PendingMessages {
+    let mut pending = PendingMessages::default();
+    for id in 0..count {
+        let accepted = AcceptedMessage {
             id,
             class: "order".into(),
             tenant: "acme".into(),
@@ -38,9 +39,13 @@
             deadline_ms: unix_time_ms() + 600_000,
             body: vec![7; BODY_BYTES].into(),
         };
-        book.insert(PendingMessage { accepted: Rc::new(taken), attempts: Vec::new(), undelivered: None });
+        pending.insert(PendingMessage {
+            accepted: Rc::new(accepted),
+            attempts: Vec::new(),
+            undelivered: None,
+        });
     }
-    book
+    pending
 }
 
 /// Starts a stub discovery service whose list has one endpoint, which no message is for.
@@ -113,12 +118,12 @@
 ) -> Result<(f64, f64), Box<dyn Error>> {
     let work = tempfile::tempdir()?;
     let state = work.path().join("state");
-    let book = book(messages);
+    let pending = pending_messages(messages);
     if file {
         std::fs::create_dir(&state)?;
-        std::fs::write(state.join("journal"), journal_file::write(book.messages().values()))?;
+        std::fs::write(state.join("journal"), journal_file::write(pending.messages().values()))?;
     } else {
-        folder::write(work.path(), &book, "n0", &state)?;
+        folder::write(work.path(), &pending, "n0", &state)?;
     }
     let listen = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
     let class = json!({"Name": "order", "PromiseNs": 3_000_000_000u64, "DeadlineNs": 900_000_000_000u64,
--- a/crates/testbed/examples/scale_backlog.rs
+++ b/crates/testbed/examples/scale_backlog.rs
@@ -152,11 +152,11 @@
     let before = MEMORY.in_use();
     MEMORY.take_peak();
     let at = Instant::now();
-    let taken = intake::read(list.as_slice(), &Catalogue::default(), &LIMITS)?;
+    let loaded = intake::read(list.as_slice(), &Catalogue::default(), &LIMITS)?;
     let intake_ms = milliseconds(at.elapsed());
     let intake_most_bytes = MEMORY.take_peak().saturating_sub(before);
     let catalogue_bytes = MEMORY.in_use() - before;
-    module.apply_list(taken);
+    module.apply_list(loaded);
     module.run_rounds(2);
     let module_bytes = MEMORY.in_use() - begun - catalogue_bytes;
     let (_, round_us, _) = time(ROUNDS, || module.round());
@@ -191,8 +191,8 @@
     let (_, mean, most) = time(CHANGES, || {
         let body = bodies.next().expect("one body for each step");
         let current = module.catalogue().expect("the module has a list");
-        let taken = intake::read(body.as_slice(), current, &LIMITS).expect("a valid list of changes");
-        module.apply_list(taken);
+        let loaded = intake::read(body.as_slice(), current, &LIMITS).expect("a valid list of changes");
+        module.apply_list(loaded);
     });
     (mean, most)
 }
--- a/crates/testbed/examples/scale_fleet.rs
+++ b/crates/testbed/examples/scale_fleet.rs
@@ -256,8 +256,8 @@
                 let at = self.service.address(number % REGIONS);
                 reads.spawn_blocking(move || load_list(at).map_err(|e| e.to_string()));
             }
-            while let Some(taken) = reads.join_next().await {
-                read.push(taken??.1.as_secs_f64() * 1e3);
+            while let Some(loaded) = reads.join_next().await {
+                read.push(loaded??.1.as_secs_f64() * 1e3);
             }
         }
         Ok(ZoneRestart {
@@ -306,12 +306,12 @@
     Ok(std::io::copy(&mut reader.take(length), &mut std::io::sink())?)
 }
 
-/// Fetches the whole list, loads it into a catalogue, and returns that with the time taken.
+/// Fetches the whole list, loads it into a catalogue, and returns that with the time loaded.
 fn load_list(at: SocketAddr) -> Result<(Catalogue, Duration), Box<dyn Error>> {
     let begun = std::time::Instant::now();
     let (reader, length) = request_list(at)?;
-    let taken = intake::read(reader.take(length), &Catalogue::default(), &Limits::for_memory(64 << 20))?;
-    Ok((taken.catalogue, begun.elapsed()))
+    let loaded = intake::read(reader.take(length), &Catalogue::default(), &Limits::for_memory(64 << 20))?;
+    Ok((loaded.catalogue, begun.elapsed()))
 }
 
 fn runtime(name: &str) -> std::io::Result<Runtime> {
--- a/crates/testbed/examples/scale_tables.rs
+++ b/crates/testbed/examples/scale_tables.rs
@@ -66,17 +66,17 @@
         "idle loop",
         "a change",
     ]);
-    for (source, one) in sources.iter().flat_map(|s| rows(s, "rows").iter().map(move |r| (s, r))) {
+    for (source, record) in sources.iter().flat_map(|s| rows(s, "rows").iter().map(move |r| (s, r))) {
         print_row(&[
             source.name.clone(),
-            short(number(one, "/destinations")),
-            format!("{} ms", short(number(one, "/ready_ms"))),
-            short(number(one, "/fetched/whole_lists")),
-            short(number(one, "/fetched/bytes")),
-            short(number(one, "/idle_memory") / MB),
-            short(number(one, "/most_memory") / MB),
-            format!("{:.2}%", 100.0 * number(one, "/idle_processor_share")),
-            format!("{} us", short(number(one, "/change_processor_us"))),
+            short(number(record, "/destinations")),
+            format!("{} ms", short(number(record, "/ready_ms"))),
+            short(number(record, "/fetched/whole_lists")),
+            short(number(record, "/fetched/bytes")),
+            short(number(record, "/idle_memory") / MB),
+            short(number(record, "/most_memory") / MB),
+            format!("{:.2}%", 100.0 * number(record, "/idle_processor_share")),
+            format!("{} us", short(number(record, "/change_processor_us"))),
         ]);
     }
     print_header(&[
@@ -94,12 +94,12 @@
         "healthz p99, ms",
         "longest, ms",
     ]);
-    for (source, one) in sources.iter().flat_map(|s| rows(s, "rows").iter().map(move |r| (s, r))) {
-        for traffic in one["traffic"].as_array().into_iter().flatten() {
+    for (source, record) in sources.iter().flat_map(|s| rows(s, "rows").iter().map(move |r| (s, r))) {
+        for traffic in record["traffic"].as_array().into_iter().flatten() {
             let outcome = &traffic["outcome"];
             print_row(&[
                 source.name.clone(),
-                short(number(one, "/destinations")),
+                short(number(record, "/destinations")),
                 outcome["skew"].as_str().unwrap_or_default().into(),
                 short(number(outcome, "/per_second")),
                 percent(number(outcome, "/taken_on"), number(outcome, "/handed_in")),
@@ -131,24 +131,27 @@
         "delivered",
         "most, MB",
     ]);
-    for (source, one) in sources.iter().flat_map(|s| rows(s, "rows").iter().map(move |r| (s, r))) {
-        for new in one["replacements"].as_array().into_iter().flatten() {
+    for (source, record) in sources.iter().flat_map(|s| rows(s, "rows").iter().map(move |r| (s, r))) {
+        for replacement in record["replacements"].as_array().into_iter().flatten() {
             print_row(&[
                 source.name.clone(),
-                short(number(one, "/destinations")),
-                short(number(new, "/fetched/whole_lists")),
-                short(number(new, "/fetched/bytes")),
-                short(number(new, "/holds/p99_ms")),
-                short(number(new, "/holds/longest_ms")),
-                short(number(new, "/holds/longest/loop_ran_ms")),
-                short(number(new, "/holds/longest/loop_waited_ms")),
-                short(number(new, "/holds/longest/probe_waited_ms")),
-                short(number(new, "/holds/most_ran_ms")),
-                short(number(new, "/holds/late_longest_ms")),
-                short(number(new, "/outcome/answer_ms_max")),
-                percent(number(new, "/outcome/taken_on"), number(new, "/outcome/handed_in")),
-                percent(number(new, "/outcome/delivered"), number(new, "/outcome/taken_on_for_live")),
-                short(number(new, "/most_memory") / MB),
+                short(number(record, "/destinations")),
+                short(number(replacement, "/fetched/whole_lists")),
+                short(number(replacement, "/fetched/bytes")),
+                short(number(replacement, "/holds/p99_ms")),
+                short(number(replacement, "/holds/longest_ms")),
+                short(number(replacement, "/holds/longest/loop_ran_ms")),
+                short(number(replacement, "/holds/longest/loop_waited_ms")),
+                short(number(replacement, "/holds/longest/probe_waited_ms")),
+                short(number(replacement, "/holds/most_ran_ms")),
+                short(number(replacement, "/holds/late_longest_ms")),
+                short(number(replacement, "/outcome/answer_ms_max")),
+                percent(number(replacement, "/outcome/taken_on"), number(replacement, "/outcome/handed_in")),
+                percent(
+                    number(replacement, "/outcome/delivered"),
+                    number(replacement, "/outcome/taken_on_for_live"),
+                ),
+                short(number(replacement, "/most_memory") / MB),
             ]);
         }
     }
@@ -161,8 +164,8 @@
         "healthz p99, ms",
         "longest, ms",
     ]);
-    for (source, one) in sources.iter().flat_map(|s| rows(s, "rows").iter().map(move |r| (s, r))) {
-        for point in one["backlog"].as_array().into_iter().flatten() {
+    for (source, record) in sources.iter().flat_map(|s| rows(s, "rows").iter().map(move |r| (s, r))) {
+        for point in record["backlog"].as_array().into_iter().flatten() {
             print_row(&[
                 source.name.clone(),
                 short(number(point, "/held")),
@@ -229,8 +232,8 @@
     for list in ["listed", "told", "used", "held"] {
         println!("\n{list}");
         let mut has_header = false;
-        for (source, one) in sources.iter().flat_map(|s| rows(s, list).iter().map(move |r| (s, r))) {
-            let Some(fields) = one.as_object() else { continue };
+        for (source, record) in sources.iter().flat_map(|s| rows(s, list).iter().map(move |r| (s, r))) {
+            let Some(fields) = record.as_object() else { continue };
             // The size is the first column.
             let is_size = |name: &str| name == "destinations" || name == "asked_for";
             let (first, rest): (Vec<_>, Vec<_>) = fields.iter().partition(|(name, _)| is_size(name));
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -89,7 +89,7 @@
         let context = &self.context;
         let (id, handed_back) = context.messages.register(random, message);
         let head = self.head(id, class, client.try_kind, message);
-        let response = self.ask(client.sender, request, id, &head, message).await;
+        let response = self.send_request(client.sender, request, id, &head, message).await;
         let (result, retry_after) = match &response {
             Ok(response) => (hand_in_result(response), retry_after(response)),
             Err(result) => (*result, None),
@@ -133,7 +133,7 @@
     ///
     /// Repeats it on a new connection if a pooled one closes before the first byte of the response, as the
     /// sender may have closed it between requests.
-    async fn ask(
+    async fn send_request(
         &self,
         sender: u32,
         request: u32,
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -43,15 +43,15 @@
 /// Reads a play's facts and draws its plots.
 fn plots_of_play(folder: &ExperimentFolder, verdict: Verdict) -> Result<PlotsOfPlay, ReportError> {
     let (drawn, facts) = (folder.plan(verdict.seed)?, folder.facts(verdict.seed)?);
-    let case = FactIndex::new(&drawn.terms, &facts);
-    let served = score::request_results(&case);
+    let index = FactIndex::new(&drawn.terms, &facts);
+    let results = score::request_results(&index);
     let bands = series::bands(&facts, drawn.terms.request_span);
     let seconds = series::seconds(&drawn.terms);
     let plot = |drawn: Result<String, plots::PlotError>| drawn.map_err(|e| ReportError::Plot(e.to_string()));
     Ok(PlotsOfPlay {
-        latency: plot(plots::latency(&series::latency(&served, seconds), &bands))?,
-        outcomes: plot(plots::outcomes(&series::outcomes(&served, seconds), &bands))?,
-        limits: plot(plots::limits(&series::limits(&case, &drawn.destinations, seconds), &bands))?,
+        latency: plot(plots::latency(&series::latency(&results, seconds), &bands))?,
+        outcomes: plot(plots::outcomes(&series::outcomes(&results, seconds), &bands))?,
+        limits: plot(plots::limits(&series::limits(&index, &drawn.destinations, seconds), &bands))?,
         verdict,
         bands,
     })
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -101,7 +101,9 @@
         (legend(outcomes_legend()))
         (PreEscaped(&play.outcomes))
         h3 { "Limits" }
-        p.note { "Calls a second at the busiest destinations (blue), those refused above the limit (red), the limit (dashed)." }
+        p.note {
+            "Calls a second at the busiest destinations (blue), those refused above the limit (red), the limit (dashed)."
+        }
         (PreEscaped(&play.limits))
         @if !play.bands.is_empty() { (faults(play)) }
         p.note {
@@ -134,8 +136,14 @@
                     tr { td { (rule.name()) } td.n { (count(rule)) } }
                 }
             }
-            ul { @for b in v.violations.iter().take(MAX_LISTED_VIOLATIONS) { li { (at(b.at)) " " (b.rule.name()) ": " (b.description) } } }
-            @if v.violations.len() > MAX_LISTED_VIOLATIONS { p.note { "and " (v.violations.len() - MAX_LISTED_VIOLATIONS) " more" } }
+            ul {
+                @for violation in v.violations.iter().take(MAX_LISTED_VIOLATIONS) {
+                    li { (at(violation.at)) " " (violation.rule.name()) ": " (violation.description) }
+                }
+            }
+            @if v.violations.len() > MAX_LISTED_VIOLATIONS {
+                p.note { "and " (v.violations.len() - MAX_LISTED_VIOLATIONS) " more" }
+            }
         }
     }
 }
--- a/crates/testbed/src/report/series.rs
+++ b/crates/testbed/src/report/series.rs
@@ -98,14 +98,14 @@
 }
 
 /// Counts the calls and refusals of the busiest destinations for each second.
-pub fn limits(case: &FactIndex, destinations: &[Destination], seconds: usize) -> Vec<LimitSeries> {
+pub fn limits(index: &FactIndex, destinations: &[Destination], seconds: usize) -> Vec<LimitSeries> {
     let mut busiest: Vec<usize> = (0..destinations.len()).collect();
     busiest.sort_by(|a, b| destinations[*b].share.total_cmp(&destinations[*a].share));
     busiest.truncate(SHOWN_DESTINATIONS);
     let series = busiest.into_iter().map(|dest| {
         let (mut calls, mut over) = (vec![0.0; seconds], vec![0.0; seconds]);
         let destination_calls =
-            case.calls.iter().filter(|c| case.terms.dest_of[c.endpoint as usize] as usize == dest);
+            index.calls.iter().filter(|c| index.terms.dest_of[c.endpoint as usize] as usize == dest);
         for call in destination_calls.filter(|c| c.last < seconds as Ns * SECOND) {
             let at = second(call.last, seconds);
             calls[at] += 1.0;
@@ -205,20 +205,20 @@
 
     #[test]
     fn merges_simultaneous_faults_and_ignores_final_termination() {
-        let life = |at, sender, life| Fact { at, kind: FactKind::Process { sender, event: life } };
+        let process = |at, sender, event| Fact { at, kind: FactKind::Process { sender, event } };
         let shut = |at, begins| Fact {
             at,
             kind: FactKind::DestinationFault { dest: 4, kind: EventKind::Shut, begins },
         };
         let facts = [
-            life(0, 0, ProcessEvent::Ready),
+            process(0, 0, ProcessEvent::Ready),
             shut(2 * SECOND, true),
-            life(3 * SECOND, 0, ProcessEvent::Killed),
-            life(3 * SECOND + MS, 2, ProcessEvent::Killed),
-            life(4 * SECOND, 0, ProcessEvent::Ready),
-            life(5 * SECOND, 2, ProcessEvent::Ready),
+            process(3 * SECOND, 0, ProcessEvent::Killed),
+            process(3 * SECOND + MS, 2, ProcessEvent::Killed),
+            process(4 * SECOND, 0, ProcessEvent::Ready),
+            process(5 * SECOND, 2, ProcessEvent::Ready),
             shut(6 * SECOND, false),
-            life(40 * SECOND, 1, ProcessEvent::Terminated),
+            process(40 * SECOND, 1, ProcessEvent::Terminated),
         ];
         let bands: Vec<(String, Ns, Ns)> =
             bands(&facts, 30 * SECOND).into_iter().map(|b| (b.title, b.from, b.to)).collect();
--- a/crates/testbed/src/scale/fleet.rs
+++ b/crates/testbed/src/scale/fleet.rs
@@ -268,28 +268,28 @@
     /// Reads a response's list and applies it; returns whether it was valid.
     fn load(&mut self, body: &[u8]) -> bool {
         let limits = Limits::for_memory((real_sender::MEMORY_MB << 20) as usize);
-        let Ok(taken) = intake::read(body, &self.catalogue, &limits) else { return false };
-        let (generation, changed) = (taken.generation, taken.reset || !taken.changed.is_empty());
+        let Ok(loaded) = intake::read(body, &self.catalogue, &limits) else { return false };
+        let (generation, changed) = (loaded.generation, loaded.reset || !loaded.changed.is_empty());
         if changed {
-            self.apply(taken);
+            self.apply(loaded);
         }
         self.progress.note_applied(self.number, generation);
         true
     }
 
-    fn apply(&mut self, taken: LoadedList) {
-        self.catalogue = taken.catalogue;
+    fn apply(&mut self, loaded: LoadedList) {
+        self.catalogue = loaded.catalogue;
         let listed = CatalogueDirectory { catalogue: &self.catalogue, names: &self.names };
         let mut events: Vec<Event> = Vec::new();
-        match taken.reset {
+        match loaded.reset {
             // Without messages the module knows no destination, so there is nothing pending to tell it.
             true => self.list.directory_replaced(&self.policy, &listed, &mut events),
-            false => self.list.endpoints_changed(&self.policy, &listed, &taken.changed, &mut events),
+            false => self.list.endpoints_changed(&self.policy, &listed, &loaded.changed, &mut events),
         }
         let mut actions = Vec::new();
         self.policy.handle(self.clock.now(), &events, &mut actions);
         self.list.events_handled();
-        self.share_snapshot(taken.generation);
+        self.share_snapshot(loaded.generation);
     }
 
     /// Replaces its snapshot by a shared one of the same version, or shares its own if there is none.
--- a/crates/testbed/src/scale/load.rs
+++ b/crates/testbed/src/scale/load.rs
@@ -147,7 +147,7 @@
     pub down_only: bool,
     /// Messages per second, as the mean of a Poisson process.
     pub per_second: f64,
-    pub lasts: Duration,
+    pub duration: Duration,
     pub class: Class,
 }
 
@@ -179,13 +179,16 @@
     Unanswered,
 }
 
+/// A message that was handed in.
 struct HandIn {
     id: u64,
     result: HandInResult,
+    /// Whether its destination is up.
     live: bool,
     took: Ns,
 }
 
+/// The clients of one sender, with their idle connections.
 struct Clients {
     sender: SocketAddr,
     class: Class,
@@ -206,7 +209,7 @@
         let destinations = DestinationSampler::new(self.skew, deployment.destinations());
         let gaps = Exp::new(self.per_second).expect("a positive rate");
         let (mut used, mut tasks, mut due) = (HashSet::new(), JoinSet::new(), 0);
-        while due < from_duration(self.lasts) {
+        while due < from_duration(self.duration) {
             due += from_seconds(gaps.sample(&mut random));
             clock.sleep_until(due).await;
             let mut destination = destinations.sample(&mut random);
@@ -268,14 +271,16 @@
 }
 
 impl Clients {
+    /// Hands one message in, and notes the result and its time.
     async fn hand_in(self: Arc<Self>, id: u64, destination: u32, live: bool) -> HandIn {
         let begun = self.clock.now();
-        let result =
-            timeout(RESPONSE_TIMEOUT, self.ask(id, destination)).await.unwrap_or(HandInResult::Unanswered);
+        let result = timeout(RESPONSE_TIMEOUT, self.send_request(id, destination))
+            .await
+            .unwrap_or(HandInResult::Unanswered);
         HandIn { id, result, live, took: self.clock.now() - begun }
     }
 
-    async fn ask(&self, id: u64, destination: u32) -> HandInResult {
+    async fn send_request(&self, id: u64, destination: u32) -> HandInResult {
         let name = &self.class.name;
         let mut request = format!(
             "POST /{name} HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: {}\r\nX-Qos: {name}\r\n\
@@ -310,6 +315,7 @@
     }
 }
 
+/// Sends a request and reads the response; `None` if the connection fails.
 async fn exchange(connection: &mut Connection, request: &[u8]) -> Option<HandInResult> {
     connection.write(request).await.ok()?;
     match connection.read_response().await.ok()?.start {
--- a/crates/testbed/src/scale/module.rs
+++ b/crates/testbed/src/scale/module.rs
@@ -16,7 +16,6 @@
 const MESSAGE_LIFETIME: Ns = 3_600 * SECOND;
 /// Duration of every call.
 const CALL_DURATION: Ns = 5 * MS;
-
 /// Destinations that the module is told of per round after a whole list, as in the sender.
 const PENDING_PER_ROUND: usize = 128;
 
@@ -79,14 +78,14 @@
     }
 
     /// Applies a list, and tells the module as much of it as it needs.
-    pub fn apply_list(&mut self, taken: LoadedList) {
-        let listed = CatalogueDirectory { catalogue: &taken.catalogue, names: &self.names };
+    pub fn apply_list(&mut self, loaded: LoadedList) {
+        let listed = CatalogueDirectory { catalogue: &loaded.catalogue, names: &self.names };
         let mut events = Vec::new();
-        match taken.reset {
+        match loaded.reset {
             true => self.on_demand.directory_replaced(&self.policy, &listed, &mut events),
-            false => self.on_demand.endpoints_changed(&self.policy, &listed, &taken.changed, &mut events),
+            false => self.on_demand.endpoints_changed(&self.policy, &listed, &loaded.changed, &mut events),
         }
-        self.directory = Some(taken.catalogue);
+        self.directory = Some(loaded.catalogue);
         self.handle(events);
     }
 
--- a/crates/testbed/src/scale/sender_bench.rs
+++ b/crates/testbed/src/scale/sender_bench.rs
@@ -38,7 +38,6 @@
 /// Duration of the load during which a whole list is replaced: longer than loading the list takes on any
 /// machine.
 const REPLACEMENT_TIME: Duration = Duration::from_secs(4);
-
 /// Time from the start of that load to the replacement.
 const REPLACEMENT_START: Duration = Duration::from_millis(500);
 /// Interval at which open descriptors are counted.
@@ -161,7 +160,7 @@
             skew,
             down_only: false,
             per_second,
-            lasts: self.load_duration,
+            duration: self.load_duration,
             class: class.clone(),
         }
     }
@@ -169,8 +168,8 @@
     async fn traffic(&mut self, skew: Skew, per_second: f64) -> Result<TrafficReport, Box<dyn Error>> {
         let load = self.load(skew, per_second);
         let probe = self.sender.start_probe()?;
-        let play = load.run(self.sender.address(), &self.deployment, &self.endpoints);
-        let both = async { tokio::join!(play, self.most_descriptors()) };
+        let running_load = load.run(self.sender.address(), &self.deployment, &self.endpoints);
+        let both = async { tokio::join!(running_load, self.most_descriptors()) };
         let ((outcome, most_descriptors), processor_share) = self.with_processor_share(both).await?;
         let holds = probe.finish().await?;
         let connections_by_call = outcome.connections as f64 / outcome.calls.max(1) as f64;
@@ -217,7 +216,7 @@
     /// Replaces the whole list under traffic.
     async fn replacement(&mut self) -> Result<Replacement, Box<dyn Error>> {
         let counts = self.service.counts();
-        let load = Load { lasts: REPLACEMENT_TIME, ..self.load(Skew::Uniform, MESSAGES_PER_SECOND) };
+        let load = Load { duration: REPLACEMENT_TIME, ..self.load(Skew::Uniform, MESSAGES_PER_SECOND) };
         let service = self.service.clone();
         // Serialising the list takes long and must not block the tasks that measure.
         let replace = async {
@@ -225,8 +224,8 @@
             spawn_blocking(move || service.replace_all()).await
         };
         let probe = self.sender.start_probe()?;
-        let play = load.run(self.sender.address(), &self.deployment, &self.endpoints);
-        let (outcome, replaced) = tokio::join!(play, replace);
+        let running_load = load.run(self.sender.address(), &self.deployment, &self.endpoints);
+        let (outcome, replaced) = tokio::join!(running_load, replace);
         replaced?;
         let holds = probe.finish().await?;
         let memory = self.sender.memory()?;
@@ -246,8 +245,8 @@
         for _ in 0..BACKLOG_PARTS {
             let load = Load { down_only: true, ..self.load(Skew::Uniform, WIDE_MESSAGES_PER_SECOND) };
             let probe = self.sender.start_probe()?;
-            let play = load.run(self.sender.address(), &self.deployment, &self.endpoints);
-            let (outcome, processor_share) = self.with_processor_share(play).await?;
+            let running_load = load.run(self.sender.address(), &self.deployment, &self.endpoints);
+            let (outcome, processor_share) = self.with_processor_share(running_load).await?;
             let holds = probe.finish().await?;
             held += outcome.taken_on;
             let (memory, state_bytes) = (self.sender.memory()?.current, self.sender.state_bytes()?);
--- a/crates/testbed/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -35,8 +35,8 @@
 
 fn module_with_list(destinations: u32) -> ModuleHarness {
     let mut module = ModuleHarness::new(&module_settings(), Outcome::Served);
-    let taken = intake::read(list(destinations).as_slice(), &Catalogue::default(), &LIMITS).unwrap();
-    module.apply_list(taken);
+    let loaded = intake::read(list(destinations).as_slice(), &Catalogue::default(), &LIMITS).unwrap();
+    module.apply_list(loaded);
     module.run_rounds(2);
     module
 }
@@ -55,8 +55,8 @@
     let line = fit_line(&sizes, |destinations| {
         let list = list(destinations);
         let before = MEMORY.in_use();
-        let taken = intake::read(list.as_slice(), &Catalogue::default(), &LIMITS).unwrap();
-        assert_eq!((taken.entries, taken.unreadable), (destinations as usize, 0));
+        let loaded = intake::read(list.as_slice(), &Catalogue::default(), &LIMITS).unwrap();
+        assert_eq!((loaded.entries, loaded.unreadable), (destinations as usize, 0));
         MEMORY.in_use() - before
     });
     assert!(line.slope <= MAX_BYTES_PER_DESTINATION, "{line:?}");
@@ -86,9 +86,9 @@
     let line = fit_line(&[30, 300, 3_000, 30_000], |destinations| {
         let list = list(destinations);
         let mut module = ModuleHarness::new(&module_settings(), Outcome::Served);
-        let taken = intake::read(list.as_slice(), &Catalogue::default(), &LIMITS).unwrap();
+        let loaded = intake::read(list.as_slice(), &Catalogue::default(), &LIMITS).unwrap();
         let before = MEMORY.in_use();
-        module.apply_list(taken);
+        module.apply_list(loaded);
         module.run_rounds(2);
         assert_eq!(module.known_destinations(), 0);
         MEMORY.in_use().saturating_sub(before)
