--- a/src/bin/sender/core.rs
+++ b/src/bin/sender/core.rs
@@ -786,7 +786,11 @@
     /// Queues the notice of how a message ended.
     fn notify(&mut self, message: &AcceptedMessage, ending: Undelivered) {
         self.noticed.insert(message.id);
-        let _ = self.notices.send(Notice { id: message.id, trace: message.trace_id.clone(), ending });
+        let _ = self.notices.send(Notice {
+            id: message.id,
+            trace_id: message.trace_id.clone(),
+            undelivered: ending,
+        });
     }
 
     /// Records the end of an attempt. Returns the message if it was delivered so late that it needs a notice
--- a/src/bin/sender/discovery.rs
+++ b/src/bin/sender/discovery.rs
@@ -163,10 +163,10 @@
     let timed_out = |_| FetchError::from(BodyError::TimedOut);
     let (mut conn, body) =
         timeout_at(deadline, request_list(kept_connection, address, path)).await.map_err(timed_out)??;
-    let taken = intake.read(body, deadline).await?;
+    let list = intake.read(body, deadline).await?;
     conn.wait_until_ready().await;
     *kept_connection = Some(conn);
-    Ok(taken)
+    Ok(list)
 }
 
 /// Follows the list of endpoints and passes each change to the core; returns only once the core has ended.
@@ -216,27 +216,26 @@
         let timeout = if wait.is_zero() { IMMEDIATE_TIMEOUT } else { wait + WATCH_GRACE };
         let answer = fetch_list(&mut kept_connection, address, &path, intake, Instant::now() + timeout).await;
         // Without a known list there is nothing to apply changes to.
-        let answer = answer.and_then(|taken| match taken.reset || known.is_some() {
-            true => Ok(taken),
+        let answer = answer.and_then(|list| match list.reset || known.is_some() {
+            true => Ok(list),
             false => Err(FetchError::Unusable("expected the whole list, received only changes".into())),
         });
         match answer {
-            Ok(taken) => {
+            Ok(list) => {
                 if std::mem::take(&mut failing) | std::mem::take(&mut refusing) {
                     tracing::info!("discovery answers again");
                 }
-                if taken.unreadable > 0 {
+                if list.unreadable > 0 {
                     tracing::warn!(
-                        entries = taken.unreadable,
+                        entries = list.unreadable,
                         "left out unreadable entries of discovery's list"
                     );
                 }
                 backoff.reset();
-                intake.put_in_force(&taken);
-                let changed = taken.reset || taken.entries > 0 || known != Some(taken.generation);
-                known = Some(taken.generation);
-                if (std::mem::take(&mut first) || changed)
-                    && core.send(Input::Catalogue(taken)).await.is_err()
+                intake.put_in_force(&list);
+                let changed = list.reset || list.entries > 0 || known != Some(list.generation);
+                known = Some(list.generation);
+                if (std::mem::take(&mut first) || changed) && core.send(Input::Catalogue(list)).await.is_err()
                 {
                     return;
                 }
--- a/src/bin/sender/list_intake.rs
+++ b/src/bin/sender/list_intake.rs
@@ -60,9 +60,9 @@
     }
 
     /// Replaces the catalogue on which the next changes build.
-    pub fn put_in_force(&mut self, taken: &LoadedList) {
-        let before = std::mem::replace(&mut self.catalogue, taken.catalogue.clone());
-        if taken.reset {
+    pub fn put_in_force(&mut self, list: &LoadedList) {
+        let before = std::mem::replace(&mut self.catalogue, list.catalogue.clone());
+        if list.reset {
             release(before);
         }
     }
@@ -100,16 +100,16 @@
         let (result_sender, result) = oneshot::channel();
         let (current, limits) = (self.catalogue.clone(), self.limits);
         let read = move || {
-            let taken = intake::read(reader, &current, &limits);
+            let list = intake::read(reader, &current, &limits);
             drop(current);
-            let _ = result_sender.send(taken);
+            let _ = result_sender.send(list);
         };
         let spawned = thread::Builder::new().name("list-intake".into()).spawn(read);
         spawned.map_err(|e| BodyError::Failed(format!("cannot start a thread: {e}")))?;
         // If this fails the writer is dropped, and the thread ends with an error that is not reported.
         feed(writer, received, body, self.timeouts.between_parts).await?;
-        let taken = result.await.map_err(|_| BodyError::Failed("the reading thread has failed".into()))?;
-        Ok(taken?)
+        let list = result.await.map_err(|_| BodyError::Failed("the reading thread has failed".into()))?;
+        Ok(list?)
     }
 }
 
--- a/src/bin/sender/list_intake/tests.rs
+++ b/src/bin/sender/list_intake/tests.rs
@@ -101,8 +101,8 @@
     for endpoints in [3, LONG] {
         let text = list(endpoints);
         for length in [None, Some(text.len() as u64)] {
-            let taken = read(steps(&text, &[]), length, NO_LIMITS).0.unwrap();
-            assert_eq!((taken.catalogue.len(), taken.generation, taken.reset), (endpoints, 7, true));
+            let loaded = read(steps(&text, &[]), length, NO_LIMITS).0.unwrap();
+            assert_eq!((loaded.catalogue.len(), loaded.generation, loaded.reset), (endpoints, 7, true));
         }
     }
 }
--- a/src/bin/sender/notices.rs
+++ b/src/bin/sender/notices.rs
@@ -12,8 +12,8 @@
 /// How one message ended.
 pub struct Notice {
     pub id: u64,
-    pub trace: String,
-    pub ending: Undelivered,
+    pub trace_id: String,
+    pub undelivered: Undelivered,
 }
 
 /// Maximum number of notices in one post. With the longest ids that are accepted its body stays under 64 KiB.
@@ -29,11 +29,11 @@
 
 /// Formats a notice as one line of JSON.
 fn json_line(notice: &Notice) -> String {
-    let line = match notice.ending {
-        Undelivered::GivenUp => json!({"message": notice.trace, "outcome": "given_up"}),
-        Undelivered::HandedBack(None) => json!({"message": notice.trace, "outcome": "handed_back"}),
+    let line = match notice.undelivered {
+        Undelivered::GivenUp => json!({"message": notice.trace_id, "outcome": "given_up"}),
+        Undelivered::HandedBack(None) => json!({"message": notice.trace_id, "outcome": "handed_back"}),
         Undelivered::HandedBack(Some(ms)) => {
-            json!({"message": notice.trace, "outcome": "handed_back", "retry_in_ms": ms})
+            json!({"message": notice.trace_id, "outcome": "handed_back", "retry_in_ms": ms})
         }
     };
     format!("{line}\n")
--- a/src/bin/sender/server.rs
+++ b/src/bin/sender/server.rs
@@ -507,13 +507,13 @@
         if body.size_hint().lower() > MAX_BODY as u64 {
             return text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB");
         }
-        let (mut taken, left) = match self.parse_headers(&head.headers, class) {
+        let (mut message, time_left) = match self.parse_headers(&head.headers, class) {
             Ok(parsed) => parsed,
             Err(reason) => return text_response(StatusCode::BAD_REQUEST, reason),
         };
-        let end = Instant::now() + left;
-        taken.deadline_ms = unix_time_ms() + left.as_millis() as i64;
-        taken.body = match timeout_at(body_by, Limited::new(body, MAX_BODY).collect()).await {
+        let deadline = Instant::now() + time_left;
+        message.deadline_ms = unix_time_ms() + time_left.as_millis() as i64;
+        message.body = match timeout_at(body_by, Limited::new(body, MAX_BODY).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
                 return text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB")
@@ -523,7 +523,7 @@
         };
         state.request_complete.set(true);
         let (reply, answer) = oneshot::channel();
-        if self.core.try_send(Input::Submit { message: taken, deadline: end, reply }).is_err() {
+        if self.core.try_send(Input::Submit { message, deadline, reply }).is_err() {
             return unavailable(None);
         }
         match answer.await {
@@ -566,8 +566,8 @@
         if text("x-qos") != Some(Some(class_name.as_str())) {
             return Err("X-Qos is missing, or not the class in the path");
         }
-        let trace = text("x-trace-id").flatten().filter(|t| !t.is_empty());
-        let trace = trace.ok_or("X-Trace-Id is missing or malformed")?;
+        let trace_id = text("x-trace-id").flatten().filter(|t| !t.is_empty());
+        let trace_id = trace_id.ok_or("X-Trace-Id is missing or malformed")?;
         let tenant = match text("x-customer") {
             None if self.settings.tenants.is_empty() => "",
             Some(Some(t))
@@ -577,33 +577,33 @@
             }
             _ => return Err("X-Customer is missing or unknown"),
         };
-        let left = text("x-expires-in-ms").flatten().and_then(|t| t.parse::<u32>().ok());
-        let left = left.ok_or("X-Expires-In-Ms is missing or malformed")?;
+        let time_left = text("x-expires-in-ms").flatten().and_then(|t| t.parse::<u32>().ok());
+        let time_left = time_left.ok_or("X-Expires-In-Ms is missing or malformed")?;
         let dest = text("x-consignee").flatten().and_then(|t| {
             t.split([',', ';']).find_map(|p| p.trim().strip_prefix("dest=")?.trim().parse::<u64>().ok())
         });
         let dest = dest.ok_or("X-Consignee is missing or malformed")?;
-        let key = match text("idempotency-key") {
+        let idempotency_key = match text("idempotency-key") {
             None => None,
             Some(Some(key)) if !key.is_empty() => Some(key.to_string()),
             Some(_) => return Err("Idempotency-Key is malformed"),
         };
         // Without a key, a repeated attempt could take effect twice.
-        if key.is_none() && self.effects[class] == Effect::Keyed {
+        if idempotency_key.is_none() && self.effects[class] == Effect::Keyed {
             return Err("Idempotency-Key is missing");
         }
-        let (class, tenant, trace) = (class_name.clone(), tenant.to_string(), trace.to_string());
-        let taken = AcceptedMessage {
+        let (class, tenant, trace_id) = (class_name.clone(), tenant.to_string(), trace_id.to_string());
+        let message = AcceptedMessage {
             id: 0,
             class,
             tenant,
             dest,
-            trace_id: trace,
-            idempotency_key: key,
+            trace_id,
+            idempotency_key,
             deadline_ms: 0,
             body: Bytes::new(),
         };
-        Ok((taken, Duration::from_millis(left.into())))
+        Ok((message, Duration::from_millis(time_left.into())))
     }
 }
 
