--- a/src/bin/sender/client.rs
+++ b/src/bin/sender/client.rs
@@ -119,8 +119,8 @@
     }
 
     /// Restores the idle bounds that the previous process had learned.
-    pub fn restore_idle_bounds(&self, keeps: IdleBounds) {
-        self.pool.restore_idle_bounds(keeps);
+    pub fn restore_idle_bounds(&self, bounds: IdleBounds) {
+        self.pool.restore_idle_bounds(bounds);
     }
 
     /// Closes the idle connections to an endpoint.
@@ -254,7 +254,8 @@
                     tokio::select! {
                         biased;
                         answer = &mut answer => break Ok(answer),
-                        () = cancel.cancelled() => break Err((std::mem::take(&mut members), Outcome::CalledOff)),
+                        () = cancel.cancelled() =>
+                            break Err((std::mem::take(&mut members), Outcome::CalledOff)),
                         () = sleep_until(next) => {}
                     }
                     let now = Instant::now();
--- a/src/bin/sender/client/pool.rs
+++ b/src/bin/sender/client/pool.rs
@@ -61,9 +61,9 @@
     }
 
     /// Restores idle bounds from another process.
-    pub fn restore_idle_bounds(&self, keeps: IdleBounds) {
+    pub fn restore_idle_bounds(&self, bounds: IdleBounds) {
         let now = Instant::now();
-        for (endpoint, bound, age) in keeps {
+        for (endpoint, bound, age) in bounds {
             let since = now.checked_sub(age).unwrap_or(now);
             self.idle_bounds.borrow_mut().insert(endpoint, IdleBound { bound, since });
         }
