--- a/crates/catalogue/src/index.rs
+++ b/crates/catalogue/src/index.rs
@@ -3,25 +3,28 @@
 use crate::{EndpointId, ARC_COUNTS_BYTES};
 use std::sync::Arc;
 
-/// Number of leading bits of the hash that select the part.
+/// Number of leading bits of the hash that select the part. With more parts a change copies fewer entries,
+/// but a clone copies a longer table of parts.
 const PART_BITS: u32 = 10;
 const PART_COUNT: usize = 1 << PART_BITS;
 
-/// A full part grows by this fraction (1/8) of its slots. As parts stay in the allocations in which they are
-/// built, small steps leave few gaps between allocations over which the next list would be scattered.
+/// A full part grows by its length divided by this, and `with_capacity` reserves that much beyond the mean.
+/// The steps are small so that `shrink` seldom has to reallocate a part, which would fragment the heap.
 const GROWTH_DIVISOR: usize = 8;
-/// A full part grows by this number of slots at least.
-const MIN_GROWTH_SLOTS: usize = 4;
-/// A part keeps spare capacity of up to this fraction (1/4) of its slots.
+/// A full part grows by at least this number of entries.
+const MIN_GROWTH_ENTRIES: usize = 4;
+/// `shrink` leaves a part a spare capacity of up to its length divided by this, plus `MIN_GROWTH_ENTRIES`.
 const SPARE_DIVISOR: usize = 4;
 
-/// A hash and the number of an endpoint whose key has it.
-type Slot = (u32, EndpointId);
+/// A hash, and the number of an endpoint whose key has that hash.
+type IndexEntry = (u32, EndpointId);
 
-/// The index: parts of slots, each sorted by hash and number. A change copies only the part that it is in.
+/// The index: parts with entries, each sorted by hash and number. A change copies at most the part of its
+/// hash, if another snapshot shares that part. Cloning the index copies the table of parts.
 #[derive(Clone)]
 pub(crate) struct Index {
-    parts: Vec<Option<Arc<Vec<Slot>>>>,
+    /// `None` for an empty part; `with_capacity` makes empty parts that have an allocation.
+    parts: Vec<Option<Arc<Vec<IndexEntry>>>>,
 }
 
 impl Default for Index {
@@ -35,9 +38,10 @@
 }
 
 impl Index {
-    /// An empty index with capacity for `slots` slots, and some more in each part as parts differ in size.
-    pub(crate) fn with_capacity(slots: usize) -> Index {
-        let mean = slots / PART_COUNT;
+    /// Creates an empty index whose parts have capacity for their mean share of `entries`, rounded down, and
+    /// an eighth more, as parts differ in size. It has no capacity if that share is 0.
+    pub(crate) fn with_capacity(entries: usize) -> Index {
+        let mean = entries / PART_COUNT;
         let capacity = mean + mean / GROWTH_DIVISOR;
         if capacity == 0 {
             return Index::default();
@@ -48,8 +52,8 @@
     /// The numbers under a hash, ascending. Numbers of other keys with the same hash are among them.
     pub(crate) fn find(&self, hash: u32) -> impl Iterator<Item = EndpointId> + '_ {
         let part = self.parts[part_of(hash)].as_deref().map_or(&[][..], Vec::as_slice);
-        let first = part.partition_point(|slot| slot.0 < hash);
-        part[first..].iter().take_while(move |slot| slot.0 == hash).map(|slot| slot.1)
+        let first = part.partition_point(|entry| entry.0 < hash);
+        part[first..].iter().take_while(move |entry| entry.0 == hash).map(|entry| entry.1)
     }
 
     /// Adds a number under a hash, unless it is there already.
@@ -57,13 +61,13 @@
         let part = Arc::make_mut(self.parts[part_of(hash)].get_or_insert_default());
         if let Err(at) = part.binary_search(&(hash, id)) {
             if part.len() == part.capacity() {
-                part.reserve_exact((part.len() / GROWTH_DIVISOR).max(MIN_GROWTH_SLOTS));
+                part.reserve_exact((part.len() / GROWTH_DIVISOR).max(MIN_GROWTH_ENTRIES));
             }
             part.insert(at, (hash, id));
         }
     }
 
-    /// Removes a number from under a hash.
+    /// Removes a number of a hash, if it is there.
     pub(crate) fn remove(&mut self, hash: u32, id: EndpointId) {
         let entry = &mut self.parts[part_of(hash)];
         let Some(part) = entry.as_mut() else { return };
@@ -81,7 +85,7 @@
             let Some(part) = entry.as_mut().and_then(Arc::get_mut) else { continue };
             if part.is_empty() {
                 *entry = None;
-            } else if part.capacity() > part.len() + part.len() / SPARE_DIVISOR + MIN_GROWTH_SLOTS {
+            } else if part.capacity() > part.len() + part.len() / SPARE_DIVISOR + MIN_GROWTH_ENTRIES {
                 part.shrink_to_fit();
             }
         }
@@ -90,9 +94,10 @@
     /// Heap memory of the index, without spare capacity.
     pub(crate) fn heap_bytes(&self) -> usize {
         let allocated = self.parts.iter().flatten();
-        let bytes =
-            |part: &Arc<Vec<Slot>>| size_of_val(part.as_slice()) + size_of::<Vec<Slot>>() + ARC_COUNTS_BYTES;
-        let directory = self.parts.len() * size_of::<Option<Arc<Vec<Slot>>>>();
-        allocated.map(bytes).sum::<usize>() + directory
+        let bytes = |part: &Arc<Vec<IndexEntry>>| {
+            size_of_val(part.as_slice()) + size_of::<Vec<IndexEntry>>() + ARC_COUNTS_BYTES
+        };
+        let table_of_parts = self.parts.len() * size_of::<Option<Arc<Vec<IndexEntry>>>>();
+        allocated.map(bytes).sum::<usize>() + table_of_parts
     }
 }
--- a/crates/testbed/src/judge/mod.rs
+++ b/crates/testbed/src/judge/mod.rs
@@ -1,6 +1,6 @@
 //! Judges a play: finds violations of the rules in its facts.
 //!
-//! `rules` has one function for each rule of the brief and the protocol; `docs/design/proving-ground.md`
+//! `rules` has one function for each rule of the brief and the protocol; `docs/design/testbed.md`
 //! lists them.
 mod fact_index;
 mod rules;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,11 +1,11 @@
 //! The testbed: plays experiments against real senders on loopback, or against the decision module in
 //! simulated time.
 //!
-//! A play has a stub platform, clients, faults and a judge; `docs/design/proving-ground.md` says what is
-//! checked. `spec` reads an experiment, and `plan` draws all of a play from it and a seed. `platform`,
+//! A play has a stub platform, clients, faults and a judge; `docs/design/testbed.md` says what is checked.
+//! `spec` reads an experiment, and `plan` draws all of a play from it and a seed. `platform`,
 //! `judge` and `score` are pure logic that takes time and randomness as arguments. `endpoints`, `discovery`,
-//! `clients`, `faulty_clients` and `process` are the sockets and processes around it, and `play` runs them; `sim`
-//! plays in simulated time. `scale` and `capacity` measure large deployments.
+//! `clients`, `faulty_clients` and `process` are the sockets and processes around it, and `play` runs them;
+//! `sim` plays in simulated time. `scale` and `capacity` measure large deployments.
 pub mod addresses;
 pub mod capacity;
 pub mod client_retry;
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -25,11 +25,12 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long after its deadline the end of a message is still waited for.
+/// How long the play waits for the end of a message after its deadline.
 const END_GRACE: Ns = 2 * SECOND;
-/// Time from SIGTERM to SIGKILL at the end of a play.
+/// Time from SIGTERM to SIGKILL at the end of a play (as `KILL_DELAY` in `plan`), and the longest wait for
+/// the exit of a process after SIGKILL.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3_700);
-/// How often progress is reported and the end of all messages is checked.
+/// Interval at which progress is reported, and at which the play checks whether all messages have ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why a play can't be run.
@@ -51,22 +52,22 @@
 /// How far a play is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Senders are starting; `ready` of them are ready.
+    /// Senders are starting; `ready` of them are ready, have ended or have timed out.
     Starting {
         ready: usize,
     },
-    /// Clients have been handing in messages for the time `at`.
+    /// Clients hand in messages; `at` is the time since they began.
     Playing {
         at: Ns,
     },
-    /// Clients have finished; `open` accepted messages have not ended.
+    /// The time for first hand-ins is over. `open` accepted messages have not ended and are still waited for.
     Ending {
         open: usize,
     },
     Finished,
 }
 
-/// The outcome of a play, as `--json` prints it.
+/// The outcome of a play, as `cairnpulley` prints it with `--json`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
     /// Version of this format.
@@ -75,6 +76,7 @@
     pub seed: u64,
     pub senders: usize,
     pub counts: Counts,
+    /// The score G and its parts.
     pub service: Service,
     pub latency: Latency,
     /// All violations of rules.
@@ -82,9 +84,11 @@
     pub violations: Vec<Violation>,
     /// Why the play is void, that is, its result doesn't depend on the senders alone. `None` if it is valid.
     pub void: Option<String>,
-    /// 99th percentile of how late the testbed did what was due at a time, in milliseconds.
+    /// 99th percentile of the delay of the testbed's own actions behind their planned times, in milliseconds;
+    /// 0 in simulated time.
     pub lateness_p99_ms: f64,
-    /// Estimate of how many senders with this traffic the machine can run; `None` in simulated time.
+    /// Estimate of the number of senders, each with the mean traffic of these, that the machine can run;
+    /// `None` in simulated time.
     #[serde(rename = "holds")]
     pub max_senders: Option<usize>,
 }
@@ -118,7 +122,7 @@
         return Err(PlayError::Descriptors { senders: plan.senders.len(), max_senders });
     }
     let clock = Clock::new(Instant::now());
-    let (void, mut voids) = mpsc::unbounded_channel();
+    let (void, mut void_reasons) = mpsc::unbounded_channel();
     let context = StubContext {
         clock,
         fact_log: Arc::new(FactLog::new(clock)),
@@ -130,7 +134,7 @@
     environment.start_all(Duration::from_secs_f64(plan.spec.program.ready_s), progress).await?;
     let start = clock.now();
     let before = ProcessorTicks::now().map_err(PlayError::Machine)?;
-    // Invalid peers connect to the sender itself, not over the link of its clients.
+    // Faulty clients connect to a sender directly, not over the link of its clients.
     let sender_addresses: Vec<_> = environment.senders.iter().map(Sender::address).collect();
     let client_address =
         |s: &Sender| environment.links.connect_address(Link::Clients, s.number(), s.address());
@@ -152,7 +156,7 @@
             sleep(POLL_INTERVAL).await;
         }
     };
-    // The schedule may start a sender again after the last request.
+    // Also waits for the end of the schedule, which may start a sender again after the last request.
     let finish = async {
         let (scheduled, ()) = tokio::join!(environment.run_schedule(plan, start), traffic);
         scheduled?;
@@ -170,7 +174,7 @@
     progress.send_replace(Progress::Finished);
     let facts: Vec<Fact> = context.fact_log.take().into_iter().map(|f| f.shifted(start)).collect();
     let lag = context.lag.percentile(99.0);
-    let void = match voids.try_recv() {
+    let void = match void_reasons.try_recv() {
         Ok(why) => Some(why),
         Err(_) if lag > scheduling_lag::MAX_P99 => {
             let bound = scheduling_lag::MAX_P99 / MS;
@@ -190,7 +194,8 @@
     Ok(Played { verdict, facts })
 }
 
-/// Returns the verdict on the facts of a play, without the figures that only the testbed knows.
+/// Returns the verdict on the facts of a play, without what is measured on the machine: `void`,
+/// `lateness_p99_ms` and `max_senders`.
 pub fn verdict(plan: &Plan, facts: &[Fact]) -> Verdict {
     let index = FactIndex::new(&plan.terms, facts);
     let results = score::request_results(&index);
@@ -265,6 +270,7 @@
     /// Starts a process of a sender.
     async fn start(&mut self, sender: u32, folder: StateFolder) -> Result<(), PlayError> {
         let known = self.discovery.known(sender);
+        // For `StateFolder::Another`: the state folder that is copied in place of the sender's own.
         let next = (sender as usize + 1) % self.senders.len();
         let other = self.senders[next].state_folder();
         let seed = self.seeds.next_u64();
--- a/crates/testbed/src/sim/world/calls.rs
+++ b/crates/testbed/src/sim/world/calls.rs
@@ -62,7 +62,7 @@
             outcome: Outcome::NoConnection,
             wait: 0,
             done: false,
-            keeps: false,
+            connection_kept: false,
         };
         if !reused && self.is_down(endpoint) {
             self.calls.insert(number, call);
@@ -82,25 +82,26 @@
             delay += 2 * ONE_WAY_DELAY;
         }
         let link_delay = match self.links.get_mut(&(Link::Endpoints, sender)) {
-            Some(link) => network::link_delay(&link.condition.forward, &mut link.to, now),
+            Some(link) => network::link_delay(&link.condition.forward, &mut link.forward, now),
             None => Some(0),
         };
         self.calls.insert(number, call);
         if let Some(link_delay) = link_delay {
-            self.after(delay + link_delay, SimEvent::CallReceived { call: number, fresh: !reused });
+            self.after(delay + link_delay, SimEvent::CallReceived { call: number, new_connection: !reused });
         }
         let limit = if limit > 0 { (now + limit).min(due) } else { due };
         self.queue.push(limit.max(now), SimEvent::CallTimesOut { call: number });
     }
 
     /// Takes a call that has reached its endpoint.
-    pub(super) fn receive_call(&mut self, number: CallNumber, fresh: bool) {
+    pub(super) fn receive_call(&mut self, number: CallNumber, new_connection: bool) {
         let Some(call) = self.calls.get_mut(&number) else { return };
         call.at_endpoint = true;
         let (sender, endpoint, message, first) = (call.sender, call.endpoint, call.wire_id, self.now);
         self.record(FactKind::CallReceived { call: number, message, sender, endpoint, first, intact: true });
-        let handshake = if fresh { (self.plan.spec.platform.handshake_ms * MS as f64) as Ns } else { 0 };
-        self.after(handshake, SimEvent::CallProcessed { call: number });
+        let handshake =
+            if new_connection { (self.plan.spec.platform.handshake_ms * MS as f64) as Ns } else { 0 };
+        self.after(handshake, SimEvent::CallHandlingBegins { call: number });
     }
 
     /// Refuses a call, or passes it to its destination.
@@ -176,9 +177,9 @@
         self.record(FactKind::Replied { call: number, reply });
         let expired = matches!(reply, Reply::Refused { why: Refusal::Expired, .. });
         let over_connection_limit = matches!(reply, Reply::Refused { why: Refusal::Connections, .. });
-        let keeps = !over_connection_limit && !matches!(answer, Answer::Reset | Answer::Malformed);
+        let connection_kept = !over_connection_limit && !matches!(answer, Answer::Reset | Answer::Malformed);
         let link_delay = match self.links.get_mut(&(Link::Endpoints, sender)) {
-            Some(link) => network::link_delay(&link.condition.reverse, &mut link.back, self.now),
+            Some(link) => network::link_delay(&link.condition.reverse, &mut link.reverse, self.now),
             None => Some(0),
         };
         // Over a cut link the answer never arrives, and the call ends by its time limit.
@@ -186,7 +187,7 @@
             let (wait, done) = (wait.unwrap_or(0), outcome == Outcome::Served || expired);
             self.after(
                 ONE_WAY_DELAY + link_delay,
-                SimEvent::CallEnds { call: number, outcome, wait, done, keeps },
+                SimEvent::CallEnds { call: number, outcome, wait, done, connection_kept },
             );
         }
     }
@@ -198,10 +199,10 @@
         outcome: Outcome,
         wait: Ns,
         done: bool,
-        keeps: bool,
+        connection_kept: bool,
     ) {
         let Some(call) = self.calls.remove(&number) else { return };
-        match (call.connected, keeps) {
+        match (call.connected, connection_kept) {
             (true, true) => self.pools.keep(self.now, call.sender, call.endpoint),
             (true, false) => self.pools.end(call.endpoint),
             // The connection was never established.
--- a/crates/testbed/src/sim/world/clients.rs
+++ b/crates/testbed/src/sim/world/clients.rs
@@ -34,7 +34,7 @@
         self.record(FactKind::HandedIn { message: wire_id, request, sender, due });
         let to = match self.links.get_mut(&(Link::Clients, sender)) {
             Some(link) if !link.condition.accepts_connections() => None,
-            Some(link) => network::link_delay(&link.condition.forward, &mut link.to, self.now),
+            Some(link) => network::link_delay(&link.condition.forward, &mut link.forward, self.now),
             None => Some(0),
         };
         match to {
@@ -61,7 +61,7 @@
         handed_in_at: Ns,
     ) {
         let back = match self.links.get_mut(&(Link::Clients, sender)) {
-            Some(link) => network::link_delay(&link.condition.reverse, &mut link.back, self.now),
+            Some(link) => network::link_delay(&link.condition.reverse, &mut link.reverse, self.now),
             None => Some(0),
         };
         let process = self.senders[sender as usize].process;
--- a/crates/testbed/src/sim/world/mod.rs
+++ b/crates/testbed/src/sim/world/mod.rs
@@ -22,21 +22,27 @@
 use sender::api::{Event, MsgId, Outcome};
 use std::collections::{BTreeMap, HashMap};
 
-/// How long a client waits for the answer to a hand-in.
+/// How long a client waits for the answer to a hand-in (PROTOCOL).
 const CLIENT_TIMEOUT: Ns = 400 * MS;
-/// How long a started process takes to be ready.
+/// How long a process that is started during the play takes to be ready. Those started at its beginning are
+/// ready at once.
 const STARTUP_SPAN: Ns = 150 * MS;
-/// How long a process takes to end after SIGTERM, as the program does.
+/// Time from SIGTERM to the exit of a process: the limit `END_BY` of the sender program.
 const SHUTDOWN_SPAN: Ns = 3_300 * MS;
 /// A notice that could not be sent is sent again after this time.
 const NOTICE_RETRY_DELAY: Ns = 500 * MS;
-/// How long the play goes on after the deadline of the last message.
+/// The play ends at the latest this long after the longest deadline, which is counted from the end of the
+/// requests or the last step of the schedule, if that is later.
 const END_GRACE: Ns = 2 * SECOND;
-/// How often the play checks whether it can end before that.
+/// Interval between checks whether the play can end early, as no message is held and no retry is scheduled.
 const END_CHECK_INTERVAL: Ns = 100 * MS;
 
-/// An event of the simulation. `incarnation` is that of the sender's process when the event was scheduled;
-/// the event is dropped if that process has ended since.
+/// An event of the simulation.
+///
+/// `request` is the number of an arrival in the plan; each of its hand-ins has a `wire_id` of its own.
+/// `incarnation` is the number of the sender's processes that had become ready when the event was scheduled.
+/// The event is dropped if another has become ready since, or if the process is no longer in the state that
+/// the event needs.
 enum SimEvent {
     /// A client hands in the message of a request for the first time.
     FirstHandIn(u32),
@@ -44,26 +50,26 @@
     NextHandIn(u32),
     /// A hand-in reaches its sender.
     HandInReceived { request: u32, wire_id: MessageId, sender: u32, handed_in_at: Ns },
-    /// A client learns how its hand-in ended.
+    /// A client learns how its hand-in ended. `retry_after` is the wait that the answer asked for, if any.
     HandInEnds { request: u32, wire_id: MessageId, result: HandInResult, retry_after: Option<Ns> },
     /// A sender's module decides on its inbox.
     RunRound { sender: u32, incarnation: u32 },
     /// The timer of a sender's module may be due.
     TimerDue { sender: u32, incarnation: u32 },
-    /// A call reaches its endpoint; `fresh` if its connection is new.
-    CallReceived { call: CallNumber, fresh: bool },
-    /// The endpoint handles a call, after the handshake of a new connection.
-    CallProcessed { call: CallNumber },
+    /// A call reaches its endpoint.
+    CallReceived { call: CallNumber, new_connection: bool },
+    /// The endpoint begins to handle a call: at once, or after the handshake if its connection is new.
+    CallHandlingBegins { call: CallNumber },
     /// The service of a call ends.
     ServiceEnds { dest: u32, index: usize, call: CallNumber },
-    /// A sender learns how a call ended; `done` if its message is finished, `keeps` if the connection stays
-    /// open.
-    CallEnds { call: CallNumber, outcome: Outcome, wait: Ns, done: bool, keeps: bool },
-    /// The time limit of a call is over for its sender.
+    /// A sender learns how a call ended. `wait` is the retry-after of the answer (0 if none), `done` means
+    /// that the message has ended, and `connection_kept` that the connection stays open.
+    CallEnds { call: CallNumber, outcome: Outcome, wait: Ns, done: bool, connection_kept: bool },
+    /// A call reaches the time limit that its sender gave it, or its message's deadline.
     CallTimesOut { call: CallNumber },
     /// A sender learns how a probe ended.
     ProbeEnds { sender: u32, incarnation: u32, endpoint: u32, outcome: Outcome },
-    /// A notice reaches discovery.
+    /// A notice reaches discovery. `retry_in` is the wait that it asks of the client, if any.
     NoticeReceived { request: u32, wire_id: MessageId, sender: u32, notice: Notice, retry_in: Option<Ns> },
     /// A step of the schedule, by number.
     ScheduledStep(usize),
@@ -77,17 +83,17 @@
     CheckEnd,
 }
 
-/// The client of a request that has not ended.
+/// A client whose request has not ended: its retries and its random stream.
 struct PendingRequest {
     client: RetryState,
     random: ChaCha8Rng,
 }
 
-/// A link of a sender that the schedule disturbs, with one lane for each direction.
+/// The state of a link for which the schedule has faults: its condition and the flow of each direction.
 struct LinkState {
     condition: LinkCondition,
-    to: Flow,
-    back: Flow,
+    forward: Flow,
+    reverse: Flow,
 }
 
 /// The state of a play in simulated time.
@@ -109,14 +115,15 @@
     next_call: CallNumber,
     pools: ConnectionPools,
     list: EndpointList,
-    /// By sender: the generation of the list that it was sent last.
+    /// By sender: the generation of the last list sent to it.
     sent_generations: Vec<u64>,
     /// Current faults of discovery.
     discovery_faults: Vec<EventKind>,
     links: BTreeMap<(Link, u32), LinkState>,
-    /// Random stream for the delays after which changes are published.
+    /// Random stream for the delays after which changes are published. Its name, `notices`, has to stay: it
+    /// determines the delays that a seed gives.
     publish_delays: ChaCha8Rng,
-    /// When the last of the changes so far is published.
+    /// When the latest change scheduled so far is published; later ones are not published before it.
     last_publish_at: Ns,
     /// Random stream for the seeds of senders' processes.
     process_seeds: ChaCha8Rng,
@@ -136,11 +143,12 @@
         let mut links = BTreeMap::new();
         for link in [Link::Endpoints, Link::Discovery, Link::Clients] {
             for sender in (0..senders.len() as u32).filter(|s| plan.has_link_events(link, *s)) {
+                // One stream for each link, sender and direction.
                 let flow = |name| Flow::new(plan.seed.stream(name, (link as u64) << 32 | u64::from(sender)));
                 let state = LinkState {
                     condition: LinkCondition::default(),
-                    to: flow("sim to"),
-                    back: flow("sim back"),
+                    forward: flow("sim to"),
+                    reverse: flow("sim back"),
                 };
                 links.insert((link, sender), state);
             }
@@ -187,11 +195,11 @@
         }
         let request_span = self.plan.terms.request_span;
         let longest_deadline = self.plan.terms.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let scheduled = self.plan.schedule.last().map_or(0, |s| s.at);
-        let end = request_span.max(scheduled) + longest_deadline + END_GRACE;
-        self.queue.push(request_span.max(scheduled) + END_CHECK_INTERVAL, SimEvent::CheckEnd);
+        let last_step_at = self.plan.schedule.last().map_or(0, |s| s.at);
+        let latest_end = request_span.max(last_step_at) + longest_deadline + END_GRACE;
+        self.queue.push(request_span.max(last_step_at) + END_CHECK_INTERVAL, SimEvent::CheckEnd);
         while let Some((at, event)) = self.queue.pop() {
-            if at > end {
+            if at > latest_end {
                 break;
             }
             self.now = at;
@@ -247,14 +255,14 @@
                     self.schedule_round(sender);
                 }
             }
-            SimEvent::CallReceived { call, fresh } => self.receive_call(call, fresh),
-            SimEvent::CallProcessed { call } => self.process_call(call),
+            SimEvent::CallReceived { call, new_connection } => self.receive_call(call, new_connection),
+            SimEvent::CallHandlingBegins { call } => self.process_call(call),
             SimEvent::ServiceEnds { dest, index, call } => {
                 let outputs = self.dests[dest as usize].finish(self.now, index, call);
                 self.apply_outputs(dest, outputs);
             }
-            SimEvent::CallEnds { call, outcome, wait, done, keeps } => {
-                self.end_call(call, outcome, wait, done, keeps)
+            SimEvent::CallEnds { call, outcome, wait, done, connection_kept } => {
+                self.end_call(call, outcome, wait, done, connection_kept)
             }
             SimEvent::CallTimesOut { call } => self.cancel_call(call, Outcome::NoAnswer),
             SimEvent::ProbeEnds { sender, incarnation, endpoint, outcome } => {
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,5 +1,5 @@
-//! The simulator adapter: runs the policies of many senders in one process, and speaks the simulator's line
-//! protocol on standard input and output.
+//! The simulator adapter: runs the policies of many senders in one process for an external simulator, which
+//! sends its events as lines on standard input and reads the actions from standard output (see [`host`]).
 mod host;
 mod listed;
 
@@ -26,8 +26,10 @@
         };
         match host.handle_line(text, &mut reply) {
             Ok(false) => {}
+            // The line ended a batch: send the answer.
             Ok(true) => {
                 let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+                // The simulator no longer reads the answers, so nothing is left to do.
                 if sent.is_err() {
                     return;
                 }
@@ -38,7 +40,8 @@
     }
 }
 
-/// Prints why the input can't be understood, and exits with status 2: decisions on such input would be wrong.
+/// Prints why the input can't be read or understood and exits with status 2, as decisions on incomplete input
+/// would be wrong.
 fn stop(message: &str) -> ! {
     eprintln!("simulator-adapter: {message}");
     std::process::exit(2)
--- a/src/stored.rs
+++ b/src/stored.rs
@@ -1,11 +1,12 @@
-//! Reads state that earlier versions of the policy wrote, from a handover or a snapshot.
+//! Deserialises a destination from a handover or a snapshot, in the present form and in that of earlier
+//! versions.
 
 use crate::api::{EndpointId, MsgId, Ns};
 use crate::state::Dest;
 use crate::statistics::{DecayingStat, StatMap};
 use serde::Deserialize;
 
-/// A destination in any form that has been written so far.
+/// A destination in any form that has been written so far. The renames are the names in stored state.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub struct StoredDest {
@@ -30,7 +31,8 @@
 #[serde(untagged)]
 enum StoredStats<K: Ord + Copy> {
     ByKey(StatMap<K>),
-    /// The first form: one entry for each possible key, class by class.
+    /// The oldest form: a dense table with an entry for each key, ordered by class and, for latencies, then
+    /// by concurrency.
     Table(Vec<DecayingStat>),
 }
 
@@ -41,12 +43,12 @@
 }
 
 impl<K: Ord + Copy> StoredStats<K> {
-    fn by_key(self, key: impl Fn(usize) -> K) -> StatMap<K> {
+    fn into_map(self, key_of_index: impl Fn(usize) -> K) -> StatMap<K> {
         match self {
             StoredStats::ByKey(stats) => stats,
             StoredStats::Table(stats) => {
                 let measured = stats.into_iter().enumerate().filter(|(_, stat)| !stat.is_empty());
-                measured.map(|(index, stat)| (key(index), stat)).collect()
+                measured.map(|(index, stat)| (key_of_index(index), stat)).collect()
             }
         }
     }
@@ -66,16 +68,19 @@
             latency,
             served_count,
         } = stored;
-        // The latency table has the same number of levels for each class; the table of arrivals has one entry
-        // per class.
-        let levels = match (&latencies, &arrivals) {
+        // The latency table has an entry for each class and concurrency, the table of arrivals one for each
+        // class: their lengths give the number of concurrencies. Only a latency table needs it. At least 1,
+        // as it is a divisor.
+        let concurrencies = match (&latencies, &arrivals) {
             (StoredStats::Table(latencies), StoredStats::Table(arrivals)) => {
                 latencies.len() / arrivals.len().max(1)
             }
             _ => 1,
         };
-        let latencies = latencies.by_key(|index| (index / levels.max(1), index % levels.max(1)));
-        let arrivals = arrivals.by_key(|class| class);
+        let latencies =
+            latencies.into_map(|index| (index / concurrencies.max(1), index % concurrencies.max(1)));
+        let arrivals = arrivals.into_map(|class| class);
+        // Not stored; set when the destination is next considered for removal.
         let restrains = false;
         Dest {
             cap,
