--- a/crates/catalogue/tests/catalogue.rs
+++ b/crates/catalogue/tests/catalogue.rs
@@ -1,4 +1,5 @@
-//! The catalogue: compared with a plain map over random lists and changes, rejected lists, and memory.
+//! Tests of the catalogue: random lists and changes against a plain map, lists that are rejected, and the
+//! memory that it takes.
 
 use catalogue::intake::{read, read_member, IntakeError, LoadedList};
 use catalogue::{Catalogue, EndpointId, Lifecycle, Limits, MAX_NAME_BYTES};
@@ -38,20 +39,21 @@
     HEAP_BYTES.with(Cell::get)
 }
 
-/// The members of an entry, but for its name.
+/// The fields of an entry that vary in these tests, except its name.
 #[derive(Clone, Debug, PartialEq)]
-struct Row {
+struct Fields {
     address: String,
     zone: String,
+    /// The destination, which a list calls `cell`.
     cell: u64,
     lifecycle: &'static str,
     weight: f64,
 }
 
-fn entry(name: &str, row: &Row) -> String {
+fn entry(name: &str, fields: &Fields) -> String {
     format!(
         r#"{{"instanceId":"{name}","hostPort":"{}","zone":"{}","machineType":"m","cell":{},"lifecycle":"{}","weight":{},"startedAtMs":0}}"#,
-        row.address, row.zone, row.cell, row.lifecycle, row.weight
+        fields.address, fields.zone, fields.cell, fields.lifecycle, fields.weight
     )
 }
 
@@ -70,34 +72,35 @@
     for number in range.clone() {
         let comma = if number == range.start { "" } else { "," };
         let [_, b, c, d] = (number as u32).to_be_bytes();
+        // Knuth's multiplicative hash: distinct names in no order.
         let name = format!("s-{:08x}", (number as u32).wrapping_mul(2_654_435_761));
-        let row = Row {
+        let fields = Fields {
             address: format!("10.{b}.{c}.{d}:5000"),
             zone: format!("z{}", number % 13),
             cell: number,
             lifecycle: "Ready",
             weight: 2.5,
         };
-        let _ = write!(text, "{comma}{}", entry(&name, &row));
+        let _ = write!(text, "{comma}{}", entry(&name, &fields));
     }
     text + "]}"
 }
 
 /// Asserts that a catalogue has exactly the entries of a map.
-fn assert_same_entries(catalogue: &Catalogue, model: &BTreeMap<String, Row>) {
+fn assert_same_entries(catalogue: &Catalogue, model: &BTreeMap<String, Fields>) {
     assert_eq!(catalogue.len(), model.len());
-    assert_eq!(catalogue.ready_count(), model.values().filter(|row| row.lifecycle == "Ready").count());
+    assert_eq!(catalogue.ready_count(), model.values().filter(|fields| fields.lifecycle == "Ready").count());
     let mut by_destination: BTreeMap<u64, Vec<EndpointId>> = BTreeMap::new();
-    for (name, row) in model {
+    for (name, fields) in model {
         let id = catalogue.id(name).unwrap_or_else(|| panic!("{name} is not listed"));
         let endpoint = catalogue.get(id).unwrap();
         let ready = endpoint.lifecycle == Lifecycle::Ready;
         assert_eq!(endpoint.name, name);
-        assert_eq!(endpoint.address, row.address.parse().unwrap());
-        assert_eq!((endpoint.zone, endpoint.machine_type), (row.zone.as_str(), "m"));
-        assert_eq!((endpoint.destination, endpoint.weight), (row.cell, row.weight));
-        assert_eq!(ready, row.lifecycle == "Ready");
-        by_destination.entry(row.cell).or_default().push(id);
+        assert_eq!(endpoint.address, fields.address.parse().unwrap());
+        assert_eq!((endpoint.zone, endpoint.machine_type), (fields.zone.as_str(), "m"));
+        assert_eq!((endpoint.destination, endpoint.weight), (fields.cell, fields.weight));
+        assert_eq!(ready, fields.lifecycle == "Ready");
+        by_destination.entry(fields.cell).or_default().push(id);
     }
     for (cell, mut ids) in by_destination {
         ids.sort_unstable();
@@ -106,19 +109,15 @@
     assert_eq!(catalogue.ids().count(), model.len());
 }
 
-fn row() -> impl Strategy<Value = Row> {
+fn fields() -> impl Strategy<Value = Fields> {
     let address = prop_oneof![
         (1u8.., any::<u16>()).prop_map(|(last, port)| format!("10.0.0.{last}:{port}")),
         any::<u16>().prop_map(|port| format!("[::1]:{port}")),
     ];
     let cell = prop_oneof![0..4u64, Just(u64::MAX), any::<u64>()];
     let lifecycle = prop_oneof![4 => Just("Ready"), 1 => Just("Terminating"), 1 => Just("Gone")];
-    (address, 0..3u8, cell, lifecycle, 0..100u32).prop_map(|(address, zone, cell, lifecycle, weight)| Row {
-        address,
-        zone: format!("zone-{zone}"),
-        cell,
-        lifecycle,
-        weight: f64::from(weight) / 4.0,
+    (address, 0..3u8, cell, lifecycle, 0..100u32).prop_map(|(address, zone, cell, lifecycle, weight)| {
+        Fields { address, zone: format!("zone-{zone}"), cell, lifecycle, weight: f64::from(weight) / 4.0 }
     })
 }
 
@@ -127,23 +126,25 @@
 
     #[test]
     fn matches_a_plain_map_over_random_lists(
-        lists in prop::collection::vec((any::<bool>(), prop::collection::vec((0..400u32, row()), 0..60)), 1..12)
+        lists in prop::collection::vec(
+            (any::<bool>(), prop::collection::vec((0..400u32, fields()), 0..60)), 1..12
+        )
     ) {
         let mut model = BTreeMap::new();
         let mut catalogue = Catalogue::default();
-        let mut numbers: BTreeMap<EndpointId, String> = BTreeMap::new();
+        let mut name_by_id: BTreeMap<EndpointId, String> = BTreeMap::new();
         for (generation, (reset, entries)) in lists.iter().enumerate() {
             let before = (catalogue.clone(), model.clone());
             if *reset {
                 model.clear();
             }
             let mut texts = Vec::new();
-            for (number, row) in entries {
+            for (number, fields) in entries {
                 let name = format!("s-{number}");
-                texts.push(entry(&name, row));
+                texts.push(entry(&name, fields));
                 model.remove(&name);
-                if row.lifecycle != "Gone" {
-                    model.insert(name, row.clone());
+                if fields.lifecycle != "Gone" {
+                    model.insert(name, fields.clone());
                 }
             }
             let loaded = apply(&list(generation as u64, *reset, &texts), &catalogue);
@@ -155,7 +156,7 @@
             // A number is never given to another name.
             for id in catalogue.ids() {
                 let name = catalogue.get(id).unwrap().name;
-                prop_assert_eq!(numbers.entry(id).or_insert_with(|| name.to_string()), name);
+                prop_assert_eq!(name_by_id.entry(id).or_insert_with(|| name.to_string()), name);
             }
         }
     }
@@ -166,8 +167,8 @@
     let current = apply(&whole_list(0..3), &Catalogue::default()).catalogue;
     let text = whole_list(0..5);
     for length in 0..text.len() {
-        let read = read(&text.as_bytes()[..length], &current, &Limits::unlimited());
-        assert!(matches!(read, Err(IntakeError::Unreadable(_))), "{length}");
+        let result = read(&text.as_bytes()[..length], &current, &Limits::unlimited());
+        assert!(matches!(result, Err(IntakeError::Unreadable(_))), "truncated to {length} bytes");
     }
     assert_eq!(current.len(), 3);
 }
@@ -192,12 +193,12 @@
 }
 
 #[test]
-fn accepts_names_up_to_the_longest_allowed() {
-    let row =
-        Row { address: "10.0.0.1:1".into(), zone: "a".into(), cell: 1, lifecycle: "Ready", weight: 0.0 };
+fn accepts_names_of_the_maximum_length_and_leaves_out_longer_ones() {
+    let fields =
+        Fields { address: "10.0.0.1:1".into(), zone: "a".into(), cell: 1, lifecycle: "Ready", weight: 0.0 };
     let names: Vec<String> = (0..300).map(|n| format!("{n:0>width$}", width = MAX_NAME_BYTES)).collect();
-    let mut entries: Vec<String> = names.iter().map(|name| entry(name, &row)).collect();
-    entries.push(entry(&"x".repeat(MAX_NAME_BYTES + 1), &row));
+    let mut entries: Vec<String> = names.iter().map(|name| entry(name, &fields)).collect();
+    entries.push(entry(&"x".repeat(MAX_NAME_BYTES + 1), &fields));
     let loaded = apply(&list(1, true, &entries), &Catalogue::default());
     assert_eq!((loaded.entries, loaded.unreadable), (300, 1));
     assert!(names.iter().all(|name| loaded.catalogue.id(name).is_some()));
@@ -205,12 +206,12 @@
 
 #[test]
 fn lists_ten_thousand_endpoints_of_one_destination() {
-    let row =
-        Row { address: "10.0.0.1:1".into(), zone: "a".into(), cell: 9, lifecycle: "Ready", weight: 0.0 };
-    let entries: Vec<String> = (0..10_000).map(|n| entry(&format!("s-{n}"), &row)).collect();
+    let fields =
+        Fields { address: "10.0.0.1:1".into(), zone: "a".into(), cell: 9, lifecycle: "Ready", weight: 0.0 };
+    let entries: Vec<String> = (0..10_000).map(|n| entry(&format!("s-{n}"), &fields)).collect();
     let loaded = apply(&list(1, true, &entries), &Catalogue::default());
     assert_eq!(loaded.catalogue.endpoints_of(9).count(), 10_000);
-    let gone = Row { lifecycle: "Gone", ..row };
+    let gone = Fields { lifecycle: "Gone", ..fields };
     let entries: Vec<String> = (0..5_000).map(|n| entry(&format!("s-{}", 2 * n), &gone)).collect();
     let after = apply(&list(2, false, &entries), &loaded.catalogue);
     assert_eq!(after.catalogue.endpoints_of(9).count(), 5_000);
@@ -220,31 +221,33 @@
 #[test]
 fn rejects_lists_beyond_limits_and_keeps_the_catalogue() {
     let current = apply(&whole_list(0..100), &Catalogue::default()).catalogue;
-    let entries = Limits { max_entries: 5_000, ..Limits::unlimited() };
-    match read(whole_list(0..6_000).as_bytes(), &current, &entries) {
+    let few_entries = Limits { max_entries: 5_000, ..Limits::unlimited() };
+    match read(whole_list(0..6_000).as_bytes(), &current, &few_entries) {
         Err(IntakeError::TooManyEntries { entries: 5_001, allowed: 5_000 }) => {}
         other => panic!("unexpected result: {:?}", other.map(|loaded| loaded.entries)),
     }
-    let memory = Limits { max_bytes: 200_000, ..Limits::unlimited() };
-    match read(whole_list(0..60_000).as_bytes(), &current, &memory) {
+    let little_memory = Limits { max_bytes: 200_000, ..Limits::unlimited() };
+    match read(whole_list(0..60_000).as_bytes(), &current, &little_memory) {
         Err(IntakeError::TooMuchMemory { bytes, allowed: 200_000, entries }) => {
-            assert!(bytes > 200_000 && entries < 10_000, "{bytes} bytes after {entries}");
+            // Memory is checked once per 1,024 entries.
+            assert!(bytes > 200_000 && entries < 10_000, "{bytes} bytes after {entries} entries");
         }
         other => panic!("unexpected result: {:?}", other.map(|loaded| loaded.entries)),
     }
-    // The limit applies to changes together with what is listed already.
+    // The limit applies to changes together with what is listed already. `true` is only the value of `reset`.
     let more = whole_list(100..200).replace("true", "false");
-    let at_most = Limits { max_entries: 150, ..Limits::unlimited() };
-    assert!(matches!(read(more.as_bytes(), &current, &at_most), Err(IntakeError::TooManyEntries { .. })));
+    let limits = Limits { max_entries: 150, ..Limits::unlimited() };
+    assert!(matches!(read(more.as_bytes(), &current, &limits), Err(IntakeError::TooManyEntries { .. })));
     assert_eq!(current.len(), 100);
 }
 
 #[test]
-fn rejects_an_endless_entry_before_it_fills_memory() {
+fn rejects_a_very_long_entry_before_it_is_read_completely() {
     let text = format!(r#"{{"instances":[{{"instanceId":"{}"#, "x".repeat(8 << 20));
     let before = heap_bytes();
-    let most = std::cell::Cell::new(0);
-    /// Records the most heap memory while it is read from.
+    let peak = std::cell::Cell::new(0);
+    /// Records the peak of heap memory at its reads. Its fields are the text, the peak, and the heap memory
+    /// before.
     struct MeasuringReader<'a>(&'a [u8], &'a Cell<isize>, isize);
     impl std::io::Read for MeasuringReader<'_> {
         fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
@@ -252,12 +255,13 @@
             self.0.read(buffer)
         }
     }
-    let reader = MeasuringReader(text.as_bytes(), &most, before);
+    let reader = MeasuringReader(text.as_bytes(), &peak, before);
     assert!(matches!(
         read(reader, &Catalogue::default(), &Limits::unlimited()),
         Err(IntakeError::Unreadable(_))
     ));
-    assert!(most.get() < 4 << 20, "{} bytes allocated", most.get());
+    // Between the limit of an entry, 1 MiB, and the length of this one, 8 MiB.
+    assert!(peak.get() < 4 << 20, "{} bytes allocated", peak.get());
 }
 
 #[test]
@@ -271,29 +275,29 @@
 #[test]
 fn keeps_numbers_of_another_process_and_adds_missing_names() {
     let old = apply(&whole_list(0..50), &Catalogue::default()).catalogue;
-    let active: Vec<EndpointId> = old.ids().step_by(7).collect();
+    let handed_over_ids: Vec<EndpointId> = old.ids().step_by(7).collect();
     let known = apply(&whole_list(25..80), &Catalogue::default()).catalogue;
-    let handed_over = active.iter().map(|&id| (id, old.get(id).unwrap()));
-    let mut new = Catalogue::from_numbered(handed_over, old.next_id());
+    let handed_over_endpoints = handed_over_ids.iter().map(|&id| (id, old.get(id).unwrap()));
+    let mut new = Catalogue::from_numbered(handed_over_endpoints, old.next_id());
     new.add_missing(&known);
-    assert!(active.iter().all(|&id| new.get(id) == old.get(id)));
+    assert!(handed_over_ids.iter().all(|&id| new.get(id) == old.get(id)));
     assert!(known.ids().all(|id| new.id(known.get(id).unwrap().name).is_some()));
-    assert!(new.ids().filter(|id| !active.contains(id)).all(|id| id >= old.next_id()));
+    assert!(new.ids().filter(|id| !handed_over_ids.contains(id)).all(|id| id >= old.next_id()));
     assert_eq!(new.generation(), Some(7));
 }
 
 #[test]
 fn gives_a_returning_name_its_old_number() {
-    let row =
-        Row { address: "10.0.0.1:1".into(), zone: "a".into(), cell: 9, lifecycle: "Ready", weight: 0.0 };
-    let ready = list(1, true, &[entry("a", &row), entry("b", &row)]);
+    let fields =
+        Fields { address: "10.0.0.1:1".into(), zone: "a".into(), cell: 9, lifecycle: "Ready", weight: 0.0 };
+    let ready = list(1, true, &[entry("a", &fields), entry("b", &fields)]);
     let first = apply(&ready, &Catalogue::default()).catalogue;
-    let gone = Row { lifecycle: "Gone", ..row.clone() };
+    let gone = Fields { lifecycle: "Gone", ..fields.clone() };
     let without = apply(&list(2, false, &[entry("b", &gone)]), &first);
     assert_eq!(without.changed, [first.id("b").unwrap()]);
-    let other = apply(&list(3, false, &[entry("c", &row)]), &without.catalogue).catalogue;
+    let other = apply(&list(3, false, &[entry("c", &fields)]), &without.catalogue).catalogue;
     assert!(!first.ids().any(|id| Some(id) == other.id("c")));
-    let back = apply(&list(4, false, &[entry("b", &row)]), &other).catalogue;
+    let back = apply(&list(4, false, &[entry("b", &fields)]), &other).catalogue;
     assert_eq!(back.id("b"), first.id("b"));
     let emptied = apply(&list(5, true, &[]), &back).catalogue;
     assert_eq!(apply(&ready, &emptied).catalogue.id("a"), first.id("a"));
@@ -309,7 +313,7 @@
         let bytes = (heap_bytes() - before) as f64;
         let counted = loaded.catalogue.heap_bytes() as f64;
         println!(
-            "{size} destinations: {bytes} bytes allocated, {counted} counted, {} each",
+            "{size} endpoints: {bytes} bytes allocated, {counted} counted, {} allocated per endpoint",
             bytes / size as f64
         );
         assert!((counted / bytes - 1.0).abs() < 0.1, "{counted} bytes counted, {bytes} allocated");
@@ -317,16 +321,16 @@
     }
     let slope = |a: (f64, f64), b: (f64, f64)| (b.1 - a.1) / (b.0 - a.0);
     let (first, second) = (slope(by_size[0], by_size[1]), slope(by_size[1], by_size[2]));
-    assert!(first <= 64.0 && second <= 64.0, "{first} and {second} bytes per destination");
+    assert!(first <= 64.0 && second <= 64.0, "{first} and {second} bytes per endpoint");
     assert!((first / second - 1.0).abs() < 0.1, "{first} and {second}: not linear");
 }
 
 #[test]
-fn one_change_copies_only_what_it_touches() {
+fn one_change_of_a_large_list_allocates_less_than_64_kib() {
     let mut added = Vec::new();
     for size in [10_000u64, 100_000] {
         let current = apply(&whole_list(0..size), &Catalogue::default()).catalogue;
-        let row = Row {
+        let fields = Fields {
             address: "10.0.0.1:1".into(),
             zone: "z1".into(),
             cell: 5,
@@ -334,7 +338,7 @@
             weight: 1.0,
         };
         let name = current.get(5).unwrap().name.to_string();
-        let text = list(8, false, &[entry(&name, &row)]);
+        let text = list(8, false, &[entry(&name, &fields)]);
         let before = heap_bytes();
         let loaded = apply(&text, &current);
         added.push(heap_bytes() - before);
@@ -342,29 +346,32 @@
         assert_eq!(loaded.catalogue.len(), current.len());
     }
     println!("bytes of a second snapshot after one change: {added:?}");
-    // Copied are one page, parts of the indexes, and the directory of pages: 8 bytes for each 128 endpoints.
+    // What is copied: one page, one part of each index, the indexes' tables of parts (8 KiB each), and the
+    // table of pages (8 bytes for each page of 128 endpoints).
     assert!(added[1] < 64 << 10, "{added:?}");
 }
 
 #[test]
-fn counts_ipv6_addresses_and_copies_only_the_changed_page() {
-    let row = |n: u64| Row {
+fn counts_ipv6_addresses_and_copies_little_for_one_change() {
+    let fields = |n: u64| Fields {
         address: format!("[2001:db8::{:x}]:5000", n % 65_536),
         zone: "a".into(),
         cell: n,
         lifecycle: "Ready",
         weight: 1.0,
     };
-    let entries: Vec<String> = (0..20_000).map(|n| entry(&format!("s-{n}"), &row(n))).collect();
+    let entries: Vec<String> = (0..20_000).map(|n| entry(&format!("s-{n}"), &fields(n))).collect();
     let before = heap_bytes();
     let current = apply(&list(1, true, &entries), &Catalogue::default()).catalogue;
     let bytes = (heap_bytes() - before) as f64;
     let counted = current.heap_bytes() as f64;
     assert!((counted / bytes - 1.0).abs() < 0.1, "{counted} bytes counted, {bytes} allocated");
     let before = heap_bytes();
-    let after = apply(&list(2, false, &[entry("s-7", &Row { weight: 2.0, ..row(8) })]), &current).catalogue;
+    // Moves s-7 to the address and the destination of s-8.
+    let after =
+        apply(&list(2, false, &[entry("s-7", &Fields { weight: 2.0, ..fields(8) })]), &current).catalogue;
     let added = heap_bytes() - before;
-    assert!(added < 64 << 10, "{added} bytes for one change of {bytes}");
+    assert!(added < 64 << 10, "one change allocates {added} bytes; the catalogue has {bytes}");
     assert_eq!(after.get(after.id("s-7").unwrap()).unwrap().address, "[2001:db8::8]:5000".parse().unwrap());
 }
 
@@ -373,7 +380,7 @@
     let mut catalogue = Catalogue::default();
     // Ten lists of 7,000 zones each: more zones together than the 65,536 numbers of interned strings.
     for generation in 0..10 {
-        let zone = |n: u64| Row {
+        let zone = |n: u64| Fields {
             address: "10.0.0.1:1".into(),
             zone: format!("zone-{}", generation * 7_000 + n),
             cell: n,
--- a/crates/testbed/src/scale/module.rs
+++ b/crates/testbed/src/scale/module.rs
@@ -1,5 +1,5 @@
-//! Runs the decision module alone in simulated time, to measure its state per listed destination, used
-//! destination and held message.
+//! Runs the policy alone in simulated time, to measure its memory and time per listed destination, per used
+//! destination and per held message.
 use super::fleet::settings_names;
 use catalogue::intake::LoadedList;
 use catalogue::Catalogue;
@@ -14,17 +14,22 @@
 
 /// Time that messages have left: long enough that none expires during a run.
 const MESSAGE_LIFETIME: Ns = 3_600 * SECOND;
-/// Duration of every call.
+/// Duration that is reported for every call. A call itself ends in the next round, one tick later.
 const CALL_DURATION: Ns = 5 * MS;
-/// Destinations that the module is told of per round after a whole list, as in the sender.
+/// Maximum number of destinations without work that the policy is told of per round after a whole list:
+/// `MAX_DESTINATIONS_TOLD` of the sender program.
 const PENDING_PER_ROUND: usize = 128;
+/// Seed of the policy's random numbers.
+const POLICY_SEED: u64 = 30;
+/// Where the policy's clock starts.
+const CLOCK_START: Ns = 1_000 * SECOND;
 
-/// A decision module with endpoints on which all calls end alike.
+/// A policy with endpoints whose calls all end with the same outcome.
 pub struct ModuleHarness {
     policy: policy::Sender,
-    /// The catalogue, of which the module is told what it needs; without one, the caller tells it whole
-    /// lists.
-    directory: Option<Catalogue>,
+    /// The listed endpoints, from which the policy is told of those that it needs. `None` if the caller sends
+    /// whole lists with `tell_whole_list`.
+    catalogue: Option<Catalogue>,
     on_demand: OnDemandList,
     names: SettingsNames,
     tick: Ns,
@@ -32,26 +37,26 @@
     next_id: MsgId,
     /// The outcome of every call.
     outcome: Outcome,
-    /// Ends of attempts that the module has not been told of.
+    /// Ends of attempts, of which the next round tells the policy.
     attempt_ends: Vec<Event>,
-    /// Calls so far of each message that has not ended.
+    /// Number of attempts so far of each message that has not ended.
     attempts: HashMap<MsgId, u32>,
-    /// Messages that the module gave up or refused.
+    /// Messages that the policy gave up or refused.
     pub given_up: u64,
     /// Messages that were delivered.
     pub delivered: u64,
 }
 
 impl ModuleHarness {
-    /// Starts a module without a list, on whose endpoints every call ends with `outcome`.
+    /// Creates a policy that has no list yet. Every call will end with `outcome`.
     pub fn new(settings: &Settings, outcome: Outcome) -> ModuleHarness {
         ModuleHarness {
-            policy: policy::Sender::new(settings.clone(), 30),
-            directory: None,
+            policy: policy::Sender::new(settings.clone(), POLICY_SEED),
+            catalogue: None,
             on_demand: OnDemandList::default(),
             names: settings_names(),
             tick: settings.tick,
-            now: 1_000 * SECOND,
+            now: CLOCK_START,
             next_id: 1,
             outcome,
             attempt_ends: Vec::new(),
@@ -61,9 +66,9 @@
         }
     }
 
-    /// Tells the module a whole list, in which each destination has one endpoint of the same number.
+    /// Sends the policy a whole list, in which each destination has one endpoint of the same number.
     ///
-    /// This is what a caller does that keeps no directory.
+    /// Callers without a catalogue do this.
     pub fn tell_whole_list(&mut self, destinations: u64) {
         let entry = |dest| Entry {
             endpoint: dest as u32,
@@ -74,10 +79,10 @@
             rate_hint: 1.0,
         };
         let entries = (0..destinations).map(entry).collect();
-        self.handle(vec![Event::List { whole: true, entries }]);
+        self.run_round_with(vec![Event::List { whole: true, entries }]);
     }
 
-    /// Applies a list, and tells the module as much of it as it needs.
+    /// Applies a list to the catalogue, and tells the policy of the entries that it needs.
     pub fn apply_list(&mut self, loaded: LoadedList) {
         let listed = CatalogueDirectory { catalogue: &loaded.catalogue, names: &self.names };
         let mut events = Vec::new();
@@ -85,16 +90,16 @@
             true => self.on_demand.directory_replaced(&self.policy, &listed, &mut events),
             false => self.on_demand.endpoints_changed(&self.policy, &listed, &loaded.changed, &mut events),
         }
-        self.directory = Some(loaded.catalogue);
-        self.handle(events);
+        self.catalogue = Some(loaded.catalogue);
+        self.run_round_with(events);
     }
 
     /// Returns the catalogue, if a list was applied.
     pub fn catalogue(&self) -> Option<&Catalogue> {
-        self.directory.as_ref()
+        self.catalogue.as_ref()
     }
 
-    /// Returns the number of destinations that the module holds state for.
+    /// Returns the number of destinations that the policy holds state for.
     pub fn known_destinations(&self) -> usize {
         self.policy.known_destinations().count()
     }
@@ -104,7 +109,7 @@
         self.next_id - 1 - self.given_up - self.delivered
     }
 
-    /// Hands messages to the module for each destination in turn, `batch` before each round.
+    /// Hands `messages` messages to the policy, for the destinations in turn, `batch` messages per round.
     ///
     /// Stops after `time_limit` of real time, and returns whether all messages were handed in.
     pub fn offer(&mut self, messages: u64, batch: u64, destinations: u64, time_limit: Duration) -> bool {
@@ -114,7 +119,7 @@
             let batch = batch.min(end - self.next_id);
             let mut events = Vec::new();
             (0..batch).for_each(|_| self.add_message(destinations, &mut events));
-            self.handle(events);
+            self.run_round_with(events);
         }
         self.next_id == end
     }
@@ -122,7 +127,7 @@
     fn add_message(&mut self, destinations: u64, events: &mut Vec<Event>) {
         let (id, dest) = (self.next_id, self.next_id % destinations);
         self.next_id += 1;
-        if let Some(catalogue) = &self.directory {
+        if let Some(catalogue) = &self.catalogue {
             let listed = CatalogueDirectory { catalogue, names: &self.names };
             self.on_demand.before_message(&self.policy, &listed, dest, events);
         }
@@ -133,17 +138,19 @@
 
     /// Runs one round with a timer event.
     pub fn round(&mut self) {
-        self.handle(vec![Event::Timer]);
+        self.run_round_with(vec![Event::Timer]);
     }
 
-    /// Runs a number of rounds, so that the module hears of all ended attempts.
+    /// Runs a number of rounds, each of which tells the policy of the attempts that ended in the one before.
     pub fn run_rounds(&mut self, rounds: usize) {
         (0..rounds).for_each(|_| self.round());
     }
 
-    fn handle(&mut self, mut events: Vec<Event>) {
+    /// Runs one round on `events` and the ends of attempts: advances the clock by one tick, has the policy
+    /// handle them, and carries out its actions.
+    fn run_round_with(&mut self, mut events: Vec<Event>) {
         self.now += self.tick;
-        if let Some(catalogue) = &self.directory {
+        if let Some(catalogue) = &self.catalogue {
             let listed = CatalogueDirectory { catalogue, names: &self.names };
             self.on_demand.tell_pending(&self.policy, &listed, PENDING_PER_ROUND, &mut events);
         }
@@ -182,6 +189,8 @@
                 self.attempts.remove(&id);
                 self.given_up += 1;
             }
+            // Each round is one tick after the last, and calls end by themselves: timers, probes and
+            // cancellations have no effect.
             _ => {}
         }
     }
--- a/crates/testbed/src/sim/world/schedule.rs
+++ b/crates/testbed/src/sim/world/schedule.rs
@@ -17,15 +17,15 @@
                 let outputs = self.dests[dest as usize].begin_fault(self.now, kind, size, until);
                 self.apply_outputs(dest, outputs);
                 if kind == EventKind::Down {
-                    self.reset_destination(dest);
+                    self.close_idle_connections_to(dest);
                 }
             }
             StepAction::End { dest, kind } => {
                 self.record(FactKind::DestinationFault { dest, kind, begins: false });
                 self.dests[dest as usize].end_fault(self.now, kind);
-                // A machine that comes back has lost its connections.
+                // Idle connections do not survive a silence. Calls in flight are not ended here.
                 if kind == EventKind::Silent {
-                    self.reset_destination(dest);
+                    self.close_idle_connections_to(dest);
                 }
             }
             StepAction::Drain { endpoint } => {
@@ -66,6 +66,8 @@
                 if let Some(link) = self.links.get_mut(&(link, sender)) {
                     link.condition.apply_fault(kind, size, begins);
                 }
+                // Only the connections to endpoints exist in simulated time: a break of another link ends
+                // none.
                 if kind == EventKind::Break && link == Link::Endpoints {
                     self.break_sender_connections(sender);
                 }
@@ -82,8 +84,8 @@
                 self.list.forget_history();
                 self.send_list_changes();
             }
-            // Only recorded: in simulated time all watches are always open, and no request for the list is
-            // refused.
+            // Only recorded: the fault limits requests for the list, and in simulated time the list and its
+            // changes are sent without requests.
             StepAction::Discovery { kind: EventKind::DiscoveryCrowded, begins, .. } => {
                 self.record(FactKind::DiscoveryFault { kind: EventKind::DiscoveryCrowded, begins });
             }
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Changes a process from one state to another; does nothing if it is in a third.
+    /// Changes a process from state `from` to state `to`; does nothing if it is not in `from`.
     pub(super) fn switch_process(&mut self, sender: u32, from: Process, to: Process, event: ProcessEvent) {
         let sender_state = &mut self.senders[sender as usize];
         if sender_state.process != from {
@@ -106,15 +108,16 @@
         }
         sender_state.process = to;
         self.record(FactKind::Process { sender, event });
-        // The sender decides now on what it received while it was paused.
+        // A round that came due during the pause was dropped: clears its flag and schedules another one,
+        // which decides on what the sender received during the pause.
         if to == Process::Up {
             self.senders[sender as usize].round_scheduled = false;
             self.schedule_round(sender);
         }
     }
 
-    /// Ends the idle connections of all senders to the endpoints of a destination.
-    pub(super) fn reset_destination(&mut self, dest: u32) {
+    /// Closes the idle connections of all senders to the endpoints of a destination.
+    pub(super) fn close_idle_connections_to(&mut self, dest: u32) {
         for endpoint in
             (0..self.plan.endpoints.len() as u32).filter(|e| self.plan.endpoints[*e as usize].dest == dest)
         {
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Ends all connections of a sender to endpoints.
+    /// Ends all connections of a sender to endpoints, and with them its calls in flight.
     pub(super) fn break_sender_connections(&mut self, sender: u32) {
         let mut calls: Vec<CallNumber> =
             self.calls.iter().filter(|(_, c)| c.sender == sender).map(|(n, _)| *n).collect();
--- a/src/bin/sender/config.rs
+++ b/src/bin/sender/config.rs
@@ -14,10 +14,11 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The memory limit where the configuration sets none.
+/// The memory limit if the configuration sets none, in MiB.
 const DEFAULT_MEMORY_MB: f64 = 64.0;
+/// A megabyte of memory is a MiB here.
 const BYTES_PER_MB: f64 = (1 << 20) as f64;
-/// The member of the file that holds the list of endpoints that this sender last had.
+/// Member of the file with the last known list of endpoints.
 const KNOWN_LIST: &str = "known";
 /// Files of at most this many bytes are read on the event loop, longer ones on another thread.
 const SHORT_FILE_BYTES: u64 = 64 << 10;
@@ -25,21 +26,25 @@
 /// `limits` in the file: what the process may use.
 #[derive(Deserialize, Clone)]
 pub struct Limits {
+    /// Number of file descriptors that the process may have open.
     pub sockets: usize,
+    /// Disk space for the journal and the snapshots, in MB (10^6 bytes).
     pub disk_mb: f64,
+    /// Memory limit, in MiB.
     pub memory_mb: Option<f64>,
 }
 
-/// `catalogue` in the file: bounds on the list of endpoints.
+/// `catalogue` in the file: limits of the list of endpoints.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
 struct CatalogueBounds {
     max_entries: Option<u64>,
+    /// Maximum memory of one snapshot of the list, in MiB.
     max_mb: Option<f64>,
 }
 
 impl CatalogueBounds {
-    /// Returns the bounds of a sender whose memory limit is `memory_mb`.
+    /// Returns the limits of the list at a sender whose memory limit is `memory_mb`.
     fn limits(&self, memory_mb: f64) -> Result<catalogue::Limits, String> {
         let mut limits = catalogue::Limits::for_memory((memory_mb * BYTES_PER_MB) as usize);
         match self.max_entries {
@@ -50,7 +55,8 @@
         match self.max_mb {
             Some(mb) if !(mb > 0.0 && mb <= memory_mb) => {
                 return Err(format!(
-                    "catalogue.max_mb: has to be above 0 and at most limits.memory_mb, {memory_mb}"
+                    "catalogue.max_mb: has to be above 0 and at most the memory limit of {memory_mb} MiB \
+                     (limits.memory_mb)"
                 ));
             }
             Some(mb) => limits.max_bytes = (mb * BYTES_PER_MB) as usize,
@@ -63,16 +69,17 @@
 /// When records of the journal are synced to disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Sync {
-    /// Never. Records survive the process all the same, but not a loss of power (DEPLOY, Limits).
+    /// Never. Records survive the end of the process, but not a power failure (DEPLOY, Limits).
     #[default]
     None,
-    /// Before the replies, calls and notices that depend on them, which share one sync.
+    /// Before any reply, call or notice that depends on them. The records of one round share a sync (group
+    /// commit).
     Group,
-    /// At this interval. A loss of power may cost the records since the last sync.
+    /// At this interval. A power failure loses the records since the last sync.
     Interval(Duration),
 }
 
-/// `store` in the file.
+/// `store` in the file: how the journal and the snapshots of the policy's state are stored.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
 struct Store {
@@ -105,9 +112,9 @@
                 Err("store.interval_ms: has to be from 1 to 60000 with sync = interval".into())
             }
             (Some("none" | "group") | None, Some(_)) => {
-                Err("store.interval_ms: goes with sync = interval only".into())
+                Err("store.interval_ms: is allowed only with sync = interval".into())
             }
-            (Some(other), _) => Err(format!("store.sync: {other:?} is none of none, group, interval")),
+            (Some(other), _) => Err(format!("store.sync: {other:?} is not one of none, group, interval")),
         }
     }
 }
@@ -139,16 +146,18 @@
     /// The address for clients.
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// The control address, if the sender has one.
+    /// The address for operators' requests, if there is one.
     pub control: Option<SocketAddr>,
     pub state_folder: PathBuf,
     pub seed: u64,
     pub limits: Limits,
-    /// Bounds on the list of endpoints.
+    /// Limits of the list of endpoints.
     pub catalogue_limits: catalogue::Limits,
+    /// Settings of the policy.
     pub settings: Settings,
-    /// The settings as the file has them.
+    /// The settings as JSON, to compare with those under which a state was stored or handed over.
     pub settings_json: String,
+    /// What the program needs of the settings besides those of the policy.
     pub program_settings: ProgramSettings,
 }
 
@@ -173,10 +182,10 @@
     Ok((path, contents))
 }
 
-/// Reads the list of endpoints that this sender last had, as a stream. One that can't be used counts as
-/// empty.
+/// Reads the last known list of endpoints from the file, as a stream. If the list can't be used, returns an
+/// empty catalogue.
 pub fn read_known_list(limits: &catalogue::Limits) -> Catalogue {
-    let read = || config_path().and_then(|path| read_known_list_of(path.as_ref(), limits));
+    let read = || config_path().and_then(|path| read_known_list_from(path.as_ref(), limits));
     let read = if config_file_bytes() <= SHORT_FILE_BYTES { read() } else { memory::on_list_thread(read) };
     read.unwrap_or_else(|error| {
         tracing::error!(%error, "cannot use the list of endpoints in the configuration; starting without it");
@@ -184,20 +193,20 @@
     })
 }
 
-fn read_known_list_of(path: &Path, limits: &catalogue::Limits) -> Result<Catalogue, String> {
+fn read_known_list_from(path: &Path, limits: &catalogue::Limits) -> Result<Catalogue, String> {
     let opened = File::open(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-    let taken = intake::read_member(opened, KNOWN_LIST, limits);
-    let taken = taken.map_err(|e| format!("{}: {KNOWN_LIST}: {e}", path.display()))?;
-    let Some(taken) = taken else { return Ok(Catalogue::default()) };
-    if taken.unreadable > 0 {
+    let loaded = intake::read_member(opened, KNOWN_LIST, limits);
+    let loaded = loaded.map_err(|e| format!("{}: {KNOWN_LIST}: {e}", path.display()))?;
+    let Some(loaded) = loaded else { return Ok(Catalogue::default()) };
+    if loaded.unreadable > 0 {
         tracing::warn!(
-            entries = taken.unreadable,
+            entries = loaded.unreadable,
             "ignored unreadable entries of the list in the configuration"
         );
     }
     // An empty list counts as none, so that its generation is not used to ask discovery for changes.
-    let has_endpoints = !taken.catalogue.is_empty();
-    Ok(if has_endpoints { taken.catalogue } else { Catalogue::default() })
+    let has_endpoints = !loaded.catalogue.is_empty();
+    Ok(if has_endpoints { loaded.catalogue } else { Catalogue::default() })
 }
 
 fn address(name: &str, text: Option<String>) -> Result<SocketAddr, String> {
@@ -205,8 +214,8 @@
     text.parse().map_err(|e| format!("{name} is not an address: {text}: {e}"))
 }
 
-/// Returns the current address of discovery. The file takes precedence over the environment, as the platform
-/// can only replace the file.
+/// Returns the current address of discovery. The file takes precedence over the environment, as the file is
+/// all that the platform can replace while the sender runs.
 pub fn read_discovery() -> Result<SocketAddr, String> {
     address("EDGE_DISCOVERY", read_file()?.1.discovery.or_else(|| env_var("EDGE_DISCOVERY")))
 }
@@ -220,7 +229,8 @@
     read.unwrap_or_else(|e| Err(e.to_string()))
 }
 
-/// Reads the configuration. Errors name the variable or the member that is wrong.
+/// Reads the configuration. Errors name the variable or the member that is wrong, except that those of an
+/// address name its variable even if the value is from the file.
 pub fn read() -> Result<Config, String> {
     let (path, file) = read_file()?;
     let (settings, program_settings) =
@@ -247,21 +257,25 @@
     })
 }
 
-/// Shortens a name that is too long for the journal's owner to its beginning and a checksum.
+/// Returns the name, or, if it is longer than a journal allows for its owner, the beginning of the name, `~`
+/// and the name's CRC-32.
 fn shorten_name(name: String) -> String {
     const MAX_BYTES: usize = store::frame::MAX_OWNER_BYTES;
+    /// `~` and eight digits.
+    const CHECKSUM_SUFFIX_BYTES: usize = 9;
     if name.len() <= MAX_BYTES {
         return name;
     }
     let beginning: String = name
         .char_indices()
-        .take_while(|(at, c)| at + c.len_utf8() <= MAX_BYTES - 9)
+        .take_while(|(at, c)| at + c.len_utf8() <= MAX_BYTES - CHECKSUM_SUFFIX_BYTES)
         .map(|(_, c)| c)
         .collect();
     format!("{beginning}~{:08x}", crc32fast::hash(name.as_bytes()))
 }
 
-/// Parses a seed in hexadecimal. Any other value is hashed to a number.
+/// Parses a seed of hexadecimal digits, given as a string or as a number, whose digits are read as
+/// hexadecimal too. The text of any other value is hashed.
 fn parse_seed(value: &Value) -> u64 {
     let text = value.as_str().map_or_else(|| value.to_string(), str::to_string);
     u64::from_str_radix(&text, 16).unwrap_or_else(|_| crc32fast::hash(text.as_bytes()).into())
--- a/src/bin/sender/config/tests.rs
+++ b/src/bin/sender/config/tests.rs
@@ -18,7 +18,7 @@
     }
 
     fn read_known_list(&self, limits: &catalogue::Limits) -> Result<Catalogue, String> {
-        read_known_list_of(&self.0, limits)
+        read_known_list_from(&self.0, limits)
     }
 }
 
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -178,9 +178,12 @@
     let mut node = Node::start(&discovery);
     node.kill();
     for (store, message) in [
-        (json!({"sync": "often"}), r#"store.sync: "often" is none of none, group, interval"#),
+        (json!({"sync": "often"}), r#"store.sync: "often" is not one of none, group, interval"#),
         (json!({"sync": "interval"}), "store.interval_ms: has to be from 1 to 60000"),
-        (json!({"sync": "group", "interval_ms": 5}), "store.interval_ms: goes with sync = interval only"),
+        (
+            json!({"sync": "group", "interval_ms": 5}),
+            "store.interval_ms: is allowed only with sync = interval",
+        ),
         (json!({"snyc": "group"}), "unknown field `snyc`"),
     ] {
         node.config["store"] = store;
