--- a/src/api.rs
+++ b/src/api.rs
@@ -56,7 +56,7 @@
     pub dedup_window: Ns,
     /// What a message is worth that is delivered within its latency target.
     pub worth: f64,
-    /// Share of the worth that is left at the deadline.
+    /// Share of the worth that is left at the deadline; with exponential decay, the least share until then.
     pub late_worth: f64,
     /// Messages with the same key are delivered one at a time, in the order of their arrival.
     pub in_order: bool,
@@ -78,7 +78,8 @@
     pub quota_per_s: f64,
 }
 
-/// The settings of the policy.
+/// The settings of the policy and its caller. The policy itself does not read `tenants`,
+/// `over_quota_worth`, `may_probe`, `connect_timeout`, `overload_duration`, the prices and `route_fee`.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Indexed by [`Message::class`].
@@ -116,6 +117,7 @@
     pub streams_per_connection: usize,
     /// Time without use after which a connection is closed.
     pub idle_timeout: Ns,
+    /// Time limit for opening a connection.
     pub connect_timeout: Ns,
     /// The weight of an endpoint in a list is a rate limit in calls per second.
     pub rate_hints: bool,
@@ -123,15 +125,15 @@
     pub rough_rate_hints: bool,
     /// Share of its capacity that a destination has when it comes back from an outage.
     pub slow_start_capacity: f64,
-    /// Time from then until it has its full capacity again.
+    /// Time from the end of an outage until the destination has its full capacity again.
     pub slow_start_window: Ns,
     /// Multiple of its present capacity at which a destination in slow start fails again.
     pub overload_factor: f64,
-    /// How long the overload must last for that.
+    /// How long such an overload must last until the destination fails.
     pub overload_duration: Ns,
     /// How long nothing is sent for an ordering key after an attempt that may still run.
     pub key_quiet_period: Ns,
-    /// Price of opening a connection. The policy reads none of the prices.
+    /// Price of opening a connection.
     pub price_handshake: f64,
     /// Price of a call to another zone.
     pub price_cross_zone: f64,
@@ -262,7 +264,7 @@
     pub took: Ns,
     /// The message has ended, with this attempt or before.
     pub done: bool,
-    /// How long the response asked to send nothing to that route; 0 if it did not.
+    /// How long the response asked to send nothing to the route of the endpoint; 0 if it did not ask.
     #[serde(rename = "wait")]
     pub retry_after: Ns,
     pub report: Option<LimitReport>,
@@ -288,8 +290,8 @@
     LookedUp { entries: Vec<Entry> },
     /// A new message.
     Message(Message),
-    /// Operators have taken an endpoint out of use, whatever lists say of it, or have put it back: its slow
-    /// start begins at that time.
+    /// Operators have taken an endpoint out of use, whatever lists say of it, or have put it back at time
+    /// `at`, at which its slow start begins.
     Maint { endpoint: EndpointId, out: bool, at: Ns },
     /// A message that an earlier process of this sender accepted. `past` are its attempts so far; all of them
     /// ended with that process at the latest.
@@ -298,7 +300,7 @@
     AttemptEnd(AttemptEnd),
     /// The message is withdrawn: the sender no longer has to deliver it.
     Withdrawn { id: MsgId },
-    /// The result of an [`Action::Probe`].
+    /// The result of an [`Action::Probe`]. The policy ignores it.
     Probed { endpoint: EndpointId, outcome: Outcome, report: Option<LimitReport> },
     /// The time of an [`Action::Timer`] has come.
     Timer,
@@ -323,7 +325,7 @@
     Fail { id: MsgId },
     /// Cancels an attempt that is in flight.
     Cancel { id: MsgId, attempt: u32 },
-    /// Checks whether an endpoint is up.
+    /// Checks whether an endpoint is up. The policy requests no probes.
     Probe { endpoint: EndpointId },
     /// Closes this sender's idle connections to an endpoint.
     Close { endpoint: EndpointId },
--- a/src/on_demand.rs
+++ b/src/on_demand.rs
@@ -9,38 +9,39 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Sender {
-    /// Returns whether it holds state for a destination; changes of the list that concern such a destination
-    /// have to be told.
+    /// Returns whether the policy holds state for a destination. It must be told of list changes that
+    /// concern such a destination.
     pub fn knows_destination(&self, destination: DestId) -> bool {
         self.dests.contains_key(&destination)
     }
 
-    /// Returns whether it holds state for an endpoint.
+    /// Returns whether the policy holds state for an endpoint.
     pub fn knows_endpoint(&self, endpoint: EndpointId) -> bool {
         self.endpoints.contains_key(&endpoint)
     }
 
-    /// Returns the destinations that it holds state for, in ascending order.
+    /// Returns the destinations that the policy holds state for, in ascending order.
     pub fn known_destinations(&self) -> impl Iterator<Item = DestId> + '_ {
         self.dests.keys().copied()
     }
 
-    /// Returns whether it has messages for a destination, held or in calls in flight.
+    /// Returns whether the policy has messages for a destination, held or in calls in flight, or had some
+    /// since its last periodic work.
     pub fn has_work(&self, destination: DestId) -> bool {
         self.active.contains(&destination)
     }
 
-    /// Returns the endpoints of a destination that it holds state for.
+    /// Returns the endpoints of a destination that the policy knows, in ascending order.
     fn known_endpoints_of(&self, destination: DestId) -> &[EndpointId] {
         self.dests.get(&destination).map_or(&[], |dest| &dest.endpoints)
     }
 
-    /// Returns the endpoints that it holds state for, in ascending order.
+    /// Returns the endpoints that the policy holds state for, in ascending order.
     pub fn known_endpoints(&self) -> impl Iterator<Item = EndpointId> + '_ {
         self.endpoints.keys().copied()
     }
 
-    /// Returns the entry of an endpoint whose last entry was ready, without a rate hint.
+    /// Returns the last entry of an endpoint if it was ready. Its rate hint is not kept and is 0 here.
     fn ready_entry(&self, endpoint: EndpointId) -> Option<Entry> {
         let known = self.endpoints.get(&endpoint).filter(|e| e.listed)?;
         let (dest, kind, zone) = (known.dest, known.kind, known.zone);
@@ -109,9 +110,9 @@
         }
     }
 
-    /// Adds what the policy must know after the whole directory was replaced, also for the first time. If the
-    /// policy knows many destinations, this covers only those with work; [`OnDemandList::tell_pending`] tells
-    /// of the others.
+    /// Adds what the policy must know after the whole directory was replaced, also for the first time. If
+    /// the policy knows many destinations, this covers only those with work or with messages in unhandled
+    /// events; [`OnDemandList::tell_pending`] tells of the others.
     pub fn directory_replaced(
         &mut self,
         policy: &Sender,
--- a/src/policy/caps.rs
+++ b/src/policy/caps.rs
@@ -9,7 +9,9 @@
     (settings.slots * 3 / 4).max(1)
 }
 
-/// Returns how long a call may be in flight before it is overdue.
+/// Returns how long a call may be in flight before it is overdue: the mean latency plus
+/// `OVERDUE_DEVIATIONS` deviations, but at least `MIN_OVERDUE` and at most the longest latency target,
+/// which also applies while the latency is not measured.
 pub(super) fn overdue_after(settings: &Settings, dest: &Dest, now: Ns) -> Ns {
     let max_target =
         settings.classes.iter().map(|class| class.latency_target).max().unwrap_or(SECOND).max(MIN_OVERDUE);
@@ -19,8 +21,9 @@
     (dest.latency.mean_plus_deviations(OVERDUE_DEVIATIONS) as Ns).clamp(MIN_OVERDUE, max_target)
 }
 
-/// Chooses the cap of a destination: the concurrency with the highest product of concurrency and share of the
-/// classes that meet their latency target at it.
+/// Chooses the cap of a destination: the concurrency with the highest product of concurrency and share of
+/// the arrivals whose class meets its latency target at that concurrency. The present cap stays unless
+/// another one scores higher.
 pub(super) fn choose_cap(settings: &Settings, dest: &mut Dest, now: Ns) {
     let max_cap = max_cap(settings);
     let class_weights: Vec<f64> =
@@ -31,8 +34,8 @@
         let measured: Vec<_> =
             latencies.filter(|(_, latency)| latency.weight_at(now) >= MIN_WEIGHT).collect();
         for (concurrency, score) in scores.iter_mut().enumerate().skip(1) {
-            // A concurrency without a measurement uses the nearest one with. A class without any measurement
-            // counts as just meeting its target at the present cap.
+            // A concurrency without a measurement uses that of the nearest measured one. A class without
+            // any measurement counts as meeting its target up to the present cap.
             let meets_target = match measured
                 .iter()
                 .min_by_key(|((_, measured_at), _)| (measured_at.abs_diff(concurrency), *measured_at))
--- a/src/policy/listed.rs
+++ b/src/policy/listed.rs
@@ -12,8 +12,9 @@
 
 impl Sender {
     /// Starts to drop the state of endpoints that are not listed any more and of unused destinations, where
-    /// nothing depends on it. Unused are destinations that were idle for a long time, and those idle for the
-    /// longest beyond a maximum number; those whose state holds calls back are not counted.
+    /// nothing depends on it. If the caller looks destinations up, unused are those idle for
+    /// `DESTINATION_IDLE_TIMEOUT`, and of more than `MAX_IDLE_DESTINATIONS` those idle for the longest. A
+    /// destination whose state holds calls back does not count as idle.
     pub(super) fn start_cleanup(&mut self) {
         let idle = self.dests.iter().filter(|(id, dest)| !self.active.contains(id) && !dest.restrains);
         let mut idle: Vec<(Ns, DestId)> = idle.map(|(&id, dest)| (dest.used_at, id)).collect();
@@ -49,7 +50,8 @@
         self.dests_after_cleanup = self.dests.len();
     }
 
-    /// Drops what is not needed of one destination, and the destination itself if no endpoint is left.
+    /// Drops what is not needed of one destination, and the destination itself if it has no endpoint left
+    /// and no work.
     fn clean_up(&mut self, id: DestId) {
         let (now, slow_start_window, active) =
             (self.now, self.settings.slow_start_window, self.active.contains(&id));
@@ -70,7 +72,8 @@
             routes.for_each(drop);
         }
         if dest.endpoints.is_empty() && !active {
-            // Its held messages may have ended since it became due, so it may still be on the agenda.
+            // The destination may still be on the agenda, as its held messages may have ended since it
+            // became due.
             self.agenda.remove(&(dest.due_at, id));
             self.dests.remove(&id);
         }
@@ -150,7 +153,8 @@
         }
     }
 
-    /// Takes an endpoint out of use, or puts it back. Only an endpoint that was out has been restarted.
+    /// Takes an endpoint out of use, or puts it back. An endpoint that is put back after it was out has
+    /// been restarted, so it begins a slow start.
     pub(super) fn set_maintenance(&mut self, endpoint: EndpointId, out: bool, at: Ns) {
         let changed =
             if out { self.out_of_service.insert(endpoint) } else { self.out_of_service.remove(&endpoint) };
@@ -178,7 +182,8 @@
 }
 
 impl Endpoint {
-    /// Returns whether a call to it is in flight, or it may still be in slow start after being put back.
+    /// Returns whether a call to the endpoint is in flight, or the slow start after it was put back is in
+    /// progress.
     fn is_needed(&self, now: Ns, slow_start_window: Ns) -> bool {
         self.in_flight > 0 || self.put_back_at.is_some_and(|at| now - at <= slow_start_window)
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,11 +1,11 @@
-//! Every decision of a sender, without any input or output. Its interface (settings, events, actions) is
-//! [`crate::api`].
+//! The policy: makes every decision of a sender, without any input or output. Its interface (settings,
+//! events, actions) is [`crate::api`].
 //!
 //! The main rule follows the QoSmax paper. Each destination has a cap on its calls in flight. Every
-//! `CONTROL_PERIOD` it is chosen again as the concurrency that maximises concurrency x share of the classes
-//! whose mean latency + deviation meets their latency target. A message is sent while its destination is
-//! below the cap and is held otherwise; messages that were held too long are refused once `SHED_THRESHOLD` is
-//! reached.
+//! `CONTROL_PERIOD` the cap is chosen again as the concurrency that maximises concurrency x share of the
+//! arrivals whose class meets its latency target by its mean latency + deviation. A message is sent while
+//! its destination is below the cap and is held otherwise; messages that were held too long are refused
+//! once `SHED_THRESHOLD` is reached.
 //!
 //! Around this rule there are token buckets for rate limits, a circuit breaker and a slow start per route for
 //! outages, and guards that keep the effect, order and deadline of each message.
@@ -27,15 +27,17 @@
 const MIN_ADMISSION_WAIT: Ns = 100 * MS;
 /// Share of `Settings::max_open` above which messages past their admission wait are refused.
 const SHED_THRESHOLD: f64 = 0.9;
-/// Half-life of the latency and arrival statistics, in nanoseconds.
+/// Half-life of the statistics of latency, arrivals and served calls or messages, in nanoseconds.
 pub(crate) const HALF_LIFE_NS: f64 = 3e9;
 /// Weighted count below which a statistic counts as not measured.
 const MIN_WEIGHT: f64 = 0.15;
 /// Weighted count below which a statistic is dropped: the next value would outweigh it by far.
 const NEGLIGIBLE_WEIGHT: f64 = 1e-6;
-/// The duration of a call counts up to this multiple of the time after which it is overdue.
+/// Once a destination's latency is measured, the duration of a further call counts up to this multiple of
+/// the mean latency plus `OVERDUE_DEVIATIONS` deviations, or up to `MIN_OVERDUE` if that is longer.
 const LATENCY_BOUND_FACTOR: f64 = 1.5;
-/// Lower bound of the messages served per second from which a message's turn is estimated.
+/// Lower bound of a destination's service rate, in messages per second, from which the turn of a held
+/// message is estimated.
 const MIN_SERVICE_RATE: f64 = 0.1;
 /// Bounds of the time in which a queue is expected to be served.
 const MIN_QUEUE_TIME: Ns = SECOND;
@@ -44,7 +46,8 @@
 const MIN_RESEND_TIME: Ns = SECOND;
 /// Shortest time between trial calls of a half-open route.
 const MIN_TRIAL_INTERVAL: Ns = 500 * MS;
-/// Longest time between trial calls of a half-open route, per sender of the fleet.
+/// Longest time between trial calls of a half-open route, for each sender of the fleet; at least 3 are
+/// counted.
 const MAX_TRIAL_INTERVAL_PER_SENDER: Ns = SECOND;
 /// Subtracted from the urgency of an unsafe message on a half-open route, so that it is sent last.
 const UNSAFE_TRIAL_PENALTY: f64 = 1e6;
@@ -54,45 +57,52 @@
 const HALF_OPEN_FAILURES: u32 = 3;
 /// Weighted share of failed calls that makes a route half-open.
 const HALF_OPEN_FAILURE_SHARE: f64 = 0.6;
-/// Factor by which each call lowers the weighted share of failed calls.
+/// Factor by which each served or failed call lowers the weighted share of failed calls.
 const FAILURE_SHARE_DECAY: f64 = 0.7;
-/// What a failed call adds to that share.
+/// Amount that a failed call then adds to the weighted share of failed calls.
 const FAILURE_WEIGHT: f64 = 0.3;
-/// Calls in a row that failed, or were refused by a limit that is not reported, after which a route is put in
-/// slow start. It is low because each of many senders sees only a few calls of an outage.
+/// Number of refusals or failures in a row that begin a slow start. Refusals do so if no limit is known;
+/// failures if no limit is known and the fleet is large, or if an earlier process left work. The number is
+/// low because each of many senders sees only a few calls of an outage.
 const SLOW_START_FAILURES: u32 = 2;
 /// Refusals in a row that count as an outage even where a rate limit might explain them.
 const OUTAGE_REFUSALS: u32 = 4;
-/// With a larger unused share of the allowance than this, a refusal is a sign of an outage.
+/// Unused share of the allowance above which a refusal is a sign of an outage.
 const OUTAGE_ALLOWANCE: f64 = 0.4;
-/// A rate limit does not ask for a wait of this length: the route has an outage.
+/// A refusal that asks for a wait of at least this length is a sign of an outage, as a rate limit asks for
+/// less.
 const OUTAGE_RETRY_AFTER: Ns = 1_500 * MS;
-/// Share of the calls that would overload a destination in slow start which the senders use.
+/// Share that the senders use of the rate that would overload a destination in slow start.
 const OVERLOAD_BUDGET_SHARE: f64 = 0.7;
 /// Share of an approximate listed limit that is used.
 const ROUGH_LIMIT_SHARE: f64 = 0.6;
 /// A call is overdue after its destination's mean latency plus this many deviations. It times out after twice
 /// that time if its messages may be sent again.
 const OVERDUE_DEVIATIONS: f64 = 3.0;
-/// No call is overdue earlier.
+/// Lower bound of the time after which a call is overdue. Its upper bound is the longest latency target of
+/// the classes, if that is longer than this.
 const MIN_OVERDUE: Ns = 400 * MS;
 
-/// How long the state of a route that is not listed any more is kept after its last failure.
+/// Minimum time for which the state of a route that is not listed any more is kept, from the latest of its
+/// estimated recovery, its next trial call and the end of the wait that a response asked for. It is dropped
+/// earlier if its destination is unused.
 const KEEP_DELISTED: Ns = 60 * SECOND;
 
-/// Destinations without use for this time are dropped. They start anew when used again: by then their latency
-/// statistics have decayed, and their share of a limit has mostly recovered.
+/// Destinations without use for this time are dropped if the caller looks them up and their state holds no
+/// calls back. They start anew when used again: by then their latency statistics have decayed, and their
+/// share of a limit has mostly recovered.
 const DESTINATION_IDLE_TIMEOUT: Ns = 60 * SECOND;
-/// Of more idle destinations than this, those unused for the longest are dropped earlier.
+/// Maximum number of idle destinations: of those beyond it, the ones unused for the longest are dropped
+/// earlier.
 const MAX_IDLE_DESTINATIONS: usize = 2_048;
 /// Interval of the cleanup of unused state.
 const CLEANUP_INTERVAL: Ns = 10 * SECOND;
-/// Number of destinations that the cleanup considers in one batch of events.
+/// Maximum number of destinations that the cleanup considers in one batch of events.
 const CLEANUP_BATCH: usize = 512;
 
 /// How long other endpoints are preferred to one after a failed or overdue call to it.
 const AVOID_ENDPOINT: Ns = SECOND;
-/// How long after a call found no connection the connections of its kind of endpoint count as scarce.
+/// How long the connections to a kind of endpoint count as scarce after a call to one of them got none.
 const CONNECTION_SCARCITY: Ns = 60 * SECOND;
 
 /// Factor by which each served call without a report raises the share of the limit. Near the limit about one
@@ -102,7 +112,7 @@
 const REFUSAL_SHARE_FACTOR: f64 = 0.8;
 /// Lower bound of the share after a refusal, as a part of an equal share among all senders.
 const REFUSAL_SHARE_FLOOR: f64 = 0.5;
-/// Longest time after a refusal for which the share does not grow, in nanoseconds.
+/// Upper bound of the time that a refusal adds to the validity of the share, in nanoseconds.
 const MAX_SHARE_PAUSE_NS: f64 = 30e9;
 /// Above this unused share of the allowance a report raises the share of the sender.
 const AMPLE_ALLOWANCE: f64 = 0.5;
@@ -117,12 +127,13 @@
 
 /// Burst of a route's token bucket: the calls of this many seconds at its rate.
 const BURST_TIME_S: f64 = 0.4;
-/// Maximum of that burst, in calls.
+/// Maximum burst of a route's token bucket, in calls; the minimum is one call.
 const MAX_BURST: f64 = 4.0;
 
 /// At most this many senders are assumed to have work for a destination at the same time: a share starts as
 /// an equal part among them. With an equal part among all, the work of one sender of a large fleet would be
-/// paced to its deadline although the limit is mostly unused.
+/// paced to its deadline although the limit is mostly unused. A fleet of more senders than this counts as
+/// large.
 const MAX_ACTIVE_SENDERS: usize = 4;
 
 /// A report of unused allowance raises the share by the number of senders to this power, so that the number
@@ -155,8 +166,8 @@
         Some(self.known_limit()).filter(|&limit| limit > 0.0).unwrap_or(self.estimated_limit)
     }
     /// Returns the share that may be used. The last one holds for `validity` and then doubles with each
-    /// further `validity`, as the calls of other senders are not seen. The share of an estimated limit is not
-    /// bounded.
+    /// further `validity`, as the calls of other senders are not seen. The share of an estimated limit
+    /// doubles over the time of `DOUBLING_CALLS` calls if that is longer, and is not bounded.
     fn current_share(&self, now: Ns, validity: Ns) -> f64 {
         // Only refusals show an estimated limit, so nothing is known of it until the next call.
         let mut doubling_time = validity as f64;
@@ -183,8 +194,9 @@
             f64::INFINITY
         }
     }
-    /// If no limit is known, sets the estimated limit to `used`, the rate in use, unless there is an estimate
-    /// that the allowed rate has not far outgrown. Returns whether it did.
+    /// Sets the estimated limit to `used`, the rate in use, if no limit is known and the allowed rate is
+    /// more than `UNUSED_LIMIT_FACTOR` times `used` (without an estimate the allowed rate is infinite).
+    /// Returns whether the estimate was set.
     fn estimate_limit(&mut self, now: Ns, validity: Ns, used: f64) -> bool {
         let new = self.known_limit() <= 0.0 && self.rate(now, validity) > UNUSED_LIMIT_FACTOR * used;
         if new {
@@ -192,18 +204,19 @@
         }
         new
     }
-    /// Lowers the share after a call sent at `sent_at` was refused. `again`: the call before it was refused
-    /// as well; `senders`: their number in the fleet. Returns whether the refusal is new information; it is
-    /// not if the call was already in flight at the last refusal.
+    /// Lowers the share after a call sent at `sent_at` was refused. `again`: another call was refused since
+    /// the last one that was served; `senders`: their number in the fleet. Returns whether the refusal is
+    /// new information; it is not if the call was already in flight at the last refusal.
     fn reduce_share(&mut self, now: Ns, sent_at: Ns, again: bool, senders: f64, validity: Ns) -> bool {
         let fresh = sent_at >= self.refused_at;
         let new_estimate =
             self.estimate_limit(now, validity, self.sent_rate.rate().max(self.usual_rate.rate()));
         let mut share = self.current_share(now, validity);
         if self.known_limit() > 0.0 {
-            // Starts from the share in use: an equal share would leave unused what the other senders do not
-            // send. If all senders of a fleet started from an allowed share that they do not use, refused
-            // calls would use up the limit long before their shares came down to it.
+            // Starts from the share in use, if that is more than an equal share: an equal share would leave
+            // unused what the other senders do not send. If all senders of a fleet started from an allowed
+            // share that they do not use, refused calls would use up the limit long before their shares
+            // came down to it.
             share = share
                 .min((steady_rate(self.served_count.weight_at(now)) / self.known_limit()).max(1.0 / senders));
             self.share = (share * REFUSAL_SHARE_FACTOR).max(REFUSAL_SHARE_FLOOR / senders);
@@ -227,7 +240,7 @@
         self.partial_outage = self.slow_start && (self.partial_outage || !self.down);
         (self.slow_start, self.down, self.recovered_at) = (true, true, now);
     }
-    /// Sets an exponential backoff with jitter after `refusals` calls in a row were refused.
+    /// Sets an exponential backoff after `refusals` refusals in a row. `jitter` is between 0.5 and 1.5.
     fn back_off(&mut self, now: Ns, refusals: u32, jitter: f64) {
         // The bucket needs the time of one to two calls to fill: senders that were refused together would
         // otherwise call together again.
@@ -244,10 +257,10 @@
     }
 }
 
-/// Decides for one sender which message is sent to which endpoint and when, or is refused.
+/// Decides for one sender when and to which endpoint each message is sent, and which messages are refused.
 ///
-/// It is stored whole and handed over to the next process in an upgrade, so that every rule continues to
-/// hold.
+/// In an upgrade its state, without the settings and the progress of a cleanup, is handed over to the next
+/// process, so that every rule continues to hold.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Sender {
@@ -287,7 +300,7 @@
     /// When an endpoint of each kind last had no free connection.
     #[serde(rename = "scarce_at")]
     connections_scarce_at: BTreeMap<usize, Ns>,
-    /// A destination that is looked up later starts as if it had been listed then.
+    /// Time of the first list. A destination that is looked up later starts as if it had been listed then.
     first_list_at: Option<Ns>,
     /// The caller looks up the destinations of messages, so the state of unused ones can be dropped.
     #[serde(rename = "looks_up")]
@@ -346,8 +359,8 @@
     }
 
     /// Continues with the learned state of a process that was killed. Its calls, held messages and
-    /// connections are gone, and a wait that a response asked for ends with the restart. A slow start in
-    /// progress continues.
+    /// connections are gone, and a wait that a response asked for ends with the restart. Which endpoints
+    /// operators have taken out of use is not kept. A slow start in progress continues.
     pub fn after_restart(self, settings: Settings, seed: u64) -> Sender {
         let mut new = Sender {
             settings,
@@ -426,9 +439,10 @@
         (self.random_state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Closes idle connections that are seldom used to endpoints whose kind was short of connections, as
-    /// other senders may need them: all senders together keep about as many as three would. This costs
-    /// handshakes.
+    /// Closes the idle connections to endpoints whose calls have just ended, if these connections are
+    /// seldom used and connections are scarce: the fleet is large, or a call to an endpoint of the same
+    /// kind recently got none. Other senders may need them: all senders together keep about as many as
+    /// three would. This costs handshakes.
     fn close_idle_connections(&mut self, out: &mut Vec<Action>) {
         let mut ended = std::mem::take(&mut self.ended_call_endpoints);
         ended.sort_unstable();
@@ -522,8 +536,8 @@
         self.hold(message.id);
     }
 
-    /// Opens a message that an earlier process left. Its attempts count, and one that was in flight may have
-    /// run.
+    /// Opens a message that an earlier process left. Its attempts by earlier processes, `past`, count
+    /// towards the maximum and say whether they may have run.
     fn resume(&mut self, message: Message, past: &[PastAttempt], out: &mut Vec<Action>) {
         self.accept(message);
         let routes = self.routes.range_mut((message.dest, 0)..=(message.dest, EndpointId::MAX));
@@ -574,9 +588,9 @@
             let (concurrency, sent_at, call_ended, overdue) =
                 (call.concurrency, call.sent_at, call.pending == 0, call.overdue);
             let dest = self.dests.get_mut(&call.dest).expect("a call's destination is known");
-            // Fast errors must not count as fast responses: every call that was not served counts with the
-            // full latency target, so that a class misses it at this concurrency once about half of its calls
-            // fail.
+            // Fast errors must not count as fast responses: every other outcome that measures latency
+            // counts with the full latency target, so that a class misses it at this concurrency once about
+            // half of its calls fail.
             let took = if end.outcome == Outcome::Served { end.took.max(0) } else { class.latency_target };
             if end.outcome.measures_latency() {
                 dest.latencies.record((message.class, concurrency), now, took as f64);
@@ -585,9 +599,9 @@
                 dest.served_count.record(now, 1.0);
             }
             match end.outcome {
-                // The value is bounded, so that one response of a heavy tail does not stretch all time-outs;
-                // a slow period is still learned within a few responses. After a time-out the latency is
-                // known to be at least this.
+                // The value is bounded, so that one response of a heavy tail does not stretch all
+                // time-outs; a slow period is still learned within a few responses. After a time-out or a
+                // cancellation the latency is known to be at least this.
                 Outcome::Served | Outcome::NoAnswer | Outcome::CalledOff => {
                     let measured = dest.latency.weight_at(now) >= MIN_WEIGHT;
                     let bound = (LATENCY_BOUND_FACTOR
@@ -753,7 +767,8 @@
             }
             Outcome::NoConnection => {
                 self.connections_scarce_at.insert(endpoint.kind, now);
-                // If it served another call meanwhile, its connections are all in use and it is not down.
+                // If the endpoint has served another call meanwhile, its connections are all in use and it
+                // is not down.
                 endpoint.avoid_until = now + AVOID_ENDPOINT;
                 endpoint.served_at < now.saturating_sub(end.took.max(self.settings.tick))
             }
@@ -773,8 +788,9 @@
     }
 
     /// Counts one failure of a route. Enough failures make the route half-open: only single spaced trial
-    /// calls are sent. Failures that are `confirmed` by an outcome also begin a slow start; an overdue call
-    /// that is served later was only slow. `counts`: the failure has not been counted before.
+    /// calls are sent. If this failure is `confirmed` by an outcome, enough failures also begin a slow
+    /// start; an overdue call confirms nothing, as it may only be slow. `counts`: the failure has not been
+    /// counted before.
     ///
     /// This covers outages of any kind, and slows down a route where errors are common without an outage.
     fn record_failure(&mut self, id: RouteId, counts: bool, confirmed: bool) {
@@ -809,10 +825,11 @@
         }
     }
 
-    /// Finds calls that are in flight for far longer than usual. Such a call is a failure before its
-    /// time-out, which calls of unsafe messages may not have. It counts if its endpoint has served nothing
-    /// since it was sent, or for as long as a call may take: if one of two endpoints hangs, the other
-    /// continues to serve. In either case the endpoint is avoided.
+    /// Finds overdue calls: those in flight for longer than `overdue_after`. Such a call counts as a
+    /// failure before its time-out, as a call of unsafe messages times out only at their deadline. It
+    /// counts once, and only if its endpoint has served nothing since the call was sent, or nothing for the
+    /// same time. The endpoint matters, not the route: if one of two endpoints hangs, the other continues
+    /// to serve. The endpoint is avoided in either case.
     fn mark_overdue(&mut self) {
         let mut overdue_routes = Vec::new();
         for call in self.calls.values_mut() {
@@ -843,7 +860,8 @@
             .max(OVERLOAD_BUDGET_SHARE * self.settings.overload_factor * proven)
     }
 
-    /// Returns the same for a slow start that began at `since`.
+    /// Returns the calls per second that a slow start which began at `since` allows, whatever was served
+    /// meanwhile.
     fn slow_start_rate_since(&self, route: &Route, since: Ns) -> f64 {
         let settings = &self.settings;
         let senders = settings.sender_count.max(1) as f64;
@@ -860,8 +878,9 @@
             .max(MIN_FLEET_RATE / senders)
     }
 
-    /// Returns when an endpoint may next be called that operators have put back. During its slow start it
-    /// gets its part of the destination's rate, so that the rate of the other endpoints does not change.
+    /// Returns when an endpoint may next be called: now, unless operators have put it back and its slow
+    /// start is in progress. During that slow start it gets its part of the destination's rate, so that the
+    /// rate of the other endpoints does not change.
     fn endpoint_ready_at(&mut self, id: EndpointId) -> Ns {
         let now = self.now;
         let endpoint = &self.endpoints[&id];
@@ -912,8 +931,10 @@
         refill(&mut route.tokens, &mut route.refilled_at, rate, burst, now)
     }
 
-    /// Returns whether a message may be sent `to` an endpoint, or refused (`None`), without the risk that its
-    /// effect happens twice. Every send and every refusal passes this check.
+    /// Returns whether a message may be sent `to` an endpoint, or refused (`None`): if an attempt may have
+    /// run, its effect must allow a repeat there. A message is also not sent if it has ended, has no
+    /// attempts left, or is in flight and must not be duplicated. Every send and every refusal passes this
+    /// check.
     fn allows(&self, open_message: &OpenMessage, to: Option<EndpointId>) -> bool {
         let class = &self.settings.classes[open_message.message.class];
         if to.is_some() {
@@ -967,7 +988,7 @@
         })
     }
 
-    /// Returns the worth of a message if it were delivered at a time.
+    /// Returns the worth that a message would have if it were delivered at time `at`.
     fn worth(&self, open_message: &OpenMessage, at: Ns) -> f64 {
         let class = &self.settings.classes[open_message.message.class];
         let target = (class.latency_target as f64
@@ -1014,9 +1035,9 @@
         }
     }
 
-    /// Cancels the first overdue call to free a slot, when all slots are taken and work waits: one whose
-    /// messages may be sent again, or that has taken three times as long as one may. An unsafe message then
-    /// fails, as its slot serves many others.
+    /// Cancels one overdue call to free a slot, when all slots are taken and work waits: the first one
+    /// whose messages may all be sent again, or that has been in flight for three times `overdue_after`. An
+    /// unsafe message then fails, as its slot serves many others.
     ///
     /// This guards against destinations that hang or lose calls and so hold every slot. It would harm where
     /// everything is slow or a message is heavy by itself, so each message is cancelled at most once while it
@@ -1032,9 +1053,9 @@
             })
         };
         let may_cancel = |call: &Call| {
-            let (age, limit) =
+            let (age, overdue_time) =
                 (self.now - call.sent_at, overdue_after(&self.settings, &self.dests[&call.dest], self.now));
-            age > limit && call.messages.iter().all(may_repeat) || age > 3 * limit
+            age > overdue_time && call.messages.iter().all(may_repeat) || age > 3 * overdue_time
         };
         let Some(call_number) =
             self.calls.iter().find(|(_, call)| may_cancel(call)).map(|(&number, _)| number)
@@ -1054,7 +1075,7 @@
         }
     }
 
-    /// Returns until when a message may be sent again if all its attempts so far may have run.
+    /// Returns until when a message may be sent again after its first attempt that may have run.
     fn resend_until(&self, open_message: &OpenMessage) -> Ns {
         let class = &self.settings.classes[open_message.message.class];
         let first_sent_at = open_message
@@ -1237,7 +1258,8 @@
         self.next_expiry = held.into_iter().map(|id| self.expire_if_due(id, out)).min().unwrap_or(Ns::MAX);
     }
 
-    /// Ends a held message that is past its latest send time or may not be sent again. Returns that time.
+    /// Ends a held message that is past its latest send time, or that may not be sent again to the endpoint
+    /// of its first attempt. Returns its latest send time.
     fn expire_if_due(&mut self, id: MsgId, out: &mut Vec<Action>) -> Ns {
         let open_message = &self.messages[&id];
         let not_sendable = open_message
@@ -1262,8 +1284,8 @@
         self.close_message(id);
     }
 
-    /// Returns the backoff for a refused message: there is room after the next message of its destination is
-    /// served.
+    /// Returns the backoff for a refused message: the mean time until its destination serves the next
+    /// message, and so has room, at most `max_retry_after` but at least `MIN_ADMISSION_WAIT`.
     pub fn backoff(&self, dest: DestId) -> Ns {
         let interval = self.dests.get(&dest).map_or(0.0, |d| d.service_interval(self.now));
         (interval as Ns).min(self.settings.max_retry_after).max(MIN_ADMISSION_WAIT)
@@ -1301,7 +1323,8 @@
     }
 }
 
-/// Refills a token bucket and returns when it has a token. `rate` is in tokens per second.
+/// Refills a token bucket and returns when it has a token (`now` if it has one already). `rate` is in
+/// tokens per second.
 fn refill(tokens: &mut f64, filled_at: &mut Ns, rate: f64, burst: f64, now: Ns) -> Ns {
     let elapsed_s = (now - *filled_at).max(0) as f64 / 1e9;
     (*tokens, *filled_at) = ((*tokens + elapsed_s * rate).min(burst), now);
--- a/src/state.rs
+++ b/src/state.rs
@@ -101,12 +101,13 @@
     pub in_flight: usize,
     /// When a call last started or ended.
     pub used_at: Ns,
-    /// Time between the last two calls that were served.
+    /// Time from the previous `served_at` to the last call that was served.
     #[serde(rename = "gap")]
     pub served_interval: Ns,
-    /// Most connections needed at once since the last idle time-out: an estimate of the open ones.
+    /// Most connections needed at once since the idle ones were last closed: an estimate of the open ones.
     #[serde(rename = "warm")]
     pub open_connections: usize,
+    /// When the endpoint last served a call, or responded that all its connections are in use.
     pub served_at: Ns,
     /// Until this time other endpoints are preferred.
     pub avoid_until: Ns,
@@ -133,7 +134,7 @@
     /// Rate of the calls served outside outages.
     #[serde(rename = "usual")]
     pub usual_rate: RateMeter,
-    /// When a call was last refused.
+    /// Time of the last refusal of a call that was sent after the refusal before it.
     pub refused_at: Ns,
     /// This sender's share of the limit at `share_at` (see `Route::current_share`).
     pub share: f64,
@@ -181,14 +182,14 @@
     /// When the next trial call may be sent.
     #[serde(rename = "next_trial")]
     pub next_trial_at: Ns,
-    /// Aged count of the calls served.
+    /// Decaying count of the calls served.
     #[serde(rename = "served")]
     pub served_count: DecayingStat,
     /// Calls in flight.
     pub in_flight: usize,
 }
 
-/// One destination: its concurrency limit, the messages that wait for it, and what was measured of it.
+/// One destination: its cap, the messages that wait for it, and what was measured of it.
 #[derive(Default, Serialize, Deserialize)]
 #[serde(from = "StoredDest")]
 pub struct Dest {
@@ -206,14 +207,15 @@
     /// When it is considered next: its entry in `Sender::agenda`.
     #[serde(rename = "look_at")]
     pub due_at: Ns,
-    /// Latency by class and concurrency.
+    /// Latency in nanoseconds, by class and concurrency. An attempt that was not served counts with the
+    /// latency target of its class if its outcome measures latency.
     #[serde(rename = "cells")]
     pub latencies: StatMap<(usize, usize)>,
     /// Arrivals of messages by class.
     pub arrivals: StatMap<usize>,
-    /// Latency of all calls.
+    /// Duration, in nanoseconds, of the attempts that were served, timed out or were cancelled.
     pub latency: DecayingStat,
-    /// Aged count of the messages served, for the rate at which held ones may expect their turn.
+    /// Decaying count of the messages served, from which the turn of held ones is estimated.
     #[serde(rename = "served")]
     pub served_count: DecayingStat,
     /// Its state held calls back when it was last considered for removal.
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -114,7 +114,7 @@
         self.advance(now);
         self.count += 1.0;
     }
-    /// Extends the observation to a time without a call.
+    /// Extends the observation up to `now` without counting a call.
     pub fn advance(&mut self, now: Ns) {
         let keep = (-((now - self.updated_at).max(0) as f64) / RATE_WINDOW_NS).exp();
         self.count *= keep;
