--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -149,7 +149,8 @@
 const UNUSED_LIMIT_FACTOR: f64 = 4.0;
 /// Multiple of its usual rate that a destination is assumed to serve after an outage.
 const RECOVERY_HEADROOM: f64 = 1.75;
-/// The same after an outage during which calls were served.
+/// Multiple of its usual rate that a destination is assumed to serve after an outage during which calls
+/// were served.
 const PARTIAL_RECOVERY_HEADROOM: f64 = 4.0;
 
 /// Lower bound of the calls per second that all senders make together, to notice the recovery of a
@@ -974,8 +975,9 @@
         }
     }
 
-    /// Returns whether a message may go by the order of its key: it is the oldest of its key, and the quiet
-    /// period after an attempt that may still run is over, or the message has been attempted already.
+    /// Returns whether the order of its key allows a message to be sent. If its class is `in_order` and it
+    /// has a key, it must be the oldest message of that key, and either the quiet period after an attempt
+    /// that may still run is over, or the message has been attempted already.
     fn is_next_of_key(&self, open_message: &OpenMessage) -> bool {
         let (true, Some(key)) =
             (self.settings.classes[open_message.message.class].in_order, open_message.message.key)
--- a/src/state.rs
+++ b/src/state.rs
@@ -36,7 +36,7 @@
     #[serde(rename = "end")]
     pub deadline_at: Ns,
     pub attempts: Vec<Attempt>,
-    /// It needs no further attempt and is kept only for its attempts in flight.
+    /// The message needs no further attempt and is kept only for its attempts in flight.
     #[serde(rename = "over")]
     pub ended: bool,
 }
@@ -67,7 +67,7 @@
     /// The outcome of one of its messages has been counted for its route.
     #[serde(rename = "judged")]
     pub outcome_counted: bool,
-    /// It has been counted as a failure for taking too long.
+    /// The call has been counted as a failure because it was overdue.
     pub overdue: bool,
     /// A trial call of a half-open route.
     pub trial: bool,
@@ -164,10 +164,10 @@
     /// The circuit breaker is half-open: only single trial calls are sent.
     #[serde(rename = "doubt")]
     pub half_open: bool,
-    /// It is in an outage or in the slow start after one.
+    /// The route is in an outage or in the slow start after one.
     #[serde(rename = "cold")]
     pub slow_start: bool,
-    /// An earlier process left work for it, and no call has been served since.
+    /// An earlier process left work for the route, and no served call of the route is known.
     pub inherited: bool,
     /// Calls were served between the failures of the outage.
     #[serde(rename = "partial")]
@@ -204,7 +204,7 @@
     pub endpoints: Vec<EndpointId>,
     /// When the periodic work last found calls in flight or held messages.
     pub used_at: Ns,
-    /// When it is considered next: its entry in `Sender::agenda`.
+    /// When the destination is considered next: its entry in `Sender::agenda` while messages are held.
     #[serde(rename = "look_at")]
     pub due_at: Ns,
     /// Latency in nanoseconds, by class and concurrency. An attempt that was not served counts with the
@@ -218,7 +218,7 @@
     /// Decaying count of the messages served, from which the turn of held ones is estimated.
     #[serde(rename = "served")]
     pub served_count: DecayingStat,
-    /// Its state held calls back when it was last considered for removal.
+    /// The destination's state held calls back when the cleanup last considered it.
     #[serde(skip)]
     pub restrains: bool,
 }
