--- a/src/bin/sender/client.rs
+++ b/src/bin/sender/client.rs
@@ -27,14 +27,15 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Maximum size of a body in bytes, of a request or of an answer.
+/// Maximum size of a body in bytes, of a request or of an answer. The answer of a batch may have four times
+/// as many.
 pub const MAX_BODY: usize = 64 << 10;
 /// A call that fails within this time on a reused connection is taken as a sign that the endpoint had closed
 /// the idle connection: a reset takes one round trip, while an answer takes the work of the call as well.
 const STALE_RESET_TIME: Duration = Duration::from_millis(20);
 /// Idle connections are closed after this fraction of the time after which endpoints close them.
 const IDLE_TIME_FRACTION: f64 = 0.9;
-/// How often expired idle connections and waits are removed.
+/// How often expired idle connections and expired blocks of routes are removed.
 const POOL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A message's part in a call.
@@ -46,7 +47,7 @@
     pub deadline: Instant,
     /// When this attempt is given up; not after `deadline`.
     pub attempt_deadline: Instant,
-    /// The time before which its first byte must be written.
+    /// The time before which the request must begin to be written.
     pub send_before: Instant,
 }
 
@@ -128,7 +129,7 @@
         self.pool.close(endpoint);
     }
 
-    /// Regularly closes expired idle connections and removes expired waits. Never returns.
+    /// Regularly closes expired idle connections and removes expired blocks of routes. Never returns.
     pub async fn maintain_pool(self: Rc<Self>) {
         let mut interval = tokio::time::interval(POOL_INTERVAL);
         loop {
@@ -182,7 +183,8 @@
         }
     }
 
-    /// Puts a connection into the pool once its answer has been read to the end.
+    /// Puts a connection into the pool once it is ready for a request. Closes it if it does not become ready
+    /// soon, or if its endpoint may no longer be called at its address.
     async fn return_to_pool(&self, endpoint: EndpointId, mut connection: Connection) {
         if !connection.wait_until_ready().await {
             return;
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Carries out one call of the decision module and reports how each of its attempts ended.
+    /// Carries out one call of the policy and reports how each of its attempts ended.
     pub async fn call(
         self: Rc<Self>,
         endpoint: EndpointId,
@@ -218,7 +220,7 @@
         let ended_as = |outcome| move |m: &CallMember| member_end(m, endpoint, outcome, started);
         // An attempt whose message could be tried again must not stay open after its limit, as the next
         // attempt would be a second copy: the call is closed for all its messages at the earliest such limit.
-        // A message that has reached its deadline leaves the call alone.
+        // A message that reaches its deadline leaves the call, which goes on for the others.
         let retry_limit =
             members.iter().filter(|m| m.attempt_deadline < m.deadline).map(|m| m.attempt_deadline).min();
         let close_at = retry_limit.or(members.iter().map(|m| m.deadline).max()).unwrap_or(started);
@@ -334,7 +336,7 @@
         self.report(ends).await;
     }
 
-    /// Sends a request and reads its answer: the whole answer of a batch, else only the headers.
+    /// Sends a request and reads its answer: all of it if it is the 200 of a batch, else only the headers.
     async fn await_answer(
         &self,
         connection: &mut Connection,
@@ -392,15 +394,15 @@
     }
 }
 
-/// Splits the messages of a call so that the body of each request stays under `MAX_BODY`.
+/// Splits the messages of a call so that no request's body exceeds `MAX_BODY`.
 fn split_by_body_size(members: Vec<CallMember>) -> Vec<Vec<CallMember>> {
     let mut batches: Vec<Vec<CallMember>> = Vec::new();
     let mut size = 0;
     for member in members {
-        let t = &member.message;
-        let texts = t.trace_id.len() + t.idempotency_key.as_ref().map_or(0, String::len);
+        let message = &member.message;
+        let texts = message.trace_id.len() + message.idempotency_key.as_ref().map_or(0, String::len);
         // The length in base64, and an upper bound for the rest of the JSON object with its texts escaped.
-        let entry_size = t.body.len().div_ceil(3) * 4 + 2 * texts + 40;
+        let entry_size = message.body.len().div_ceil(3) * 4 + 2 * texts + 40;
         match batches.last_mut().filter(|_| size + entry_size < MAX_BODY) {
             Some(batch) => batch.push(member),
             None => {
--- a/src/bin/sender/client/pool.rs
+++ b/src/bin/sender/client/pool.rs
@@ -14,9 +14,10 @@
 /// idle bound.
 const MIN_IDLE_BOUND: Duration = Duration::from_millis(50);
 
-/// How long connections to an endpoint may stay idle, where that was found to be less than the settings say.
+/// How long connections to an endpoint may stay idle, if that was found to be less than the settings say.
 struct IdleBound {
     bound: Duration,
+    /// When the bound was set.
     since: Instant,
 }
 
@@ -99,7 +100,7 @@
         ConnectionPermit::new(&self.open)
     }
 
-    /// Takes the connection to an endpoint that was used last and may be reused.
+    /// Takes, of an endpoint's idle connections that may be reused, the one that was used last.
     pub fn take(&self, endpoint: EndpointId) -> Option<Connection> {
         let now = Instant::now();
         let mut pool = self.idle_connections.borrow_mut();
@@ -144,7 +145,7 @@
         self.idle_bounds.borrow_mut().insert(endpoint, IdleBound { bound, since: now });
     }
 
-    /// Makes room for one more connection, by closing the one that has been idle longest where the limit is
+    /// Makes room for one more connection, by closing the one that has been idle longest if the limit is
     /// reached. Returns false if all open connections are in use.
     pub fn make_room(&self) -> bool {
         if self.open.get() < self.max_open {
--- a/src/bin/sender/connection.rs
+++ b/src/bin/sender/connection.rs
@@ -114,7 +114,7 @@
     status_line: Rc<RefCell<StatusLine>>,
     address: SocketAddr,
     idle_since: Instant,
-    /// How long it had been idle before the exchange in progress; None on a new connection.
+    /// How long the connection had been idle before its present use; None on a new connection.
     idle_before_use: Option<Duration>,
     _permit: Option<ConnectionPermit>,
 }
@@ -177,12 +177,12 @@
         let _ = (&mut self.task).await;
     }
 
-    /// Returns whether it has carried an exchange before the one in progress.
+    /// Returns whether the connection was idle before its present use, and so is not new.
     pub fn is_reused(&self) -> bool {
         self.idle_before_use.is_some()
     }
 
-    /// Returns whether it is open and ready for a request.
+    /// Returns whether the connection is open and ready for a request.
     pub fn is_open(&self) -> bool {
         self.sender.is_ready() && !self.task.is_finished()
     }
@@ -219,7 +219,7 @@
         matches!(timeout(ANSWER_TAIL_TIMEOUT, self.sender.ready()).await, Ok(Ok(())))
     }
 
-    /// Returns the address to which it was opened.
+    /// Returns the address to which the connection was opened.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -229,12 +229,12 @@
         self._permit = Some(permit);
     }
 
-    /// Records that it is idle from now on.
+    /// Records that the connection is idle from now on.
     pub fn mark_idle(&mut self) {
         self.idle_since = Instant::now();
     }
 
-    /// Returns the time at which it was opened or last marked as idle.
+    /// Returns the time at which the connection was opened or last marked as idle.
     pub fn idle_since(&self) -> Instant {
         self.idle_since
     }
@@ -244,7 +244,7 @@
         self.idle_before_use = Some(now - self.idle_since);
     }
 
-    /// Returns how long it had been idle before the exchange in progress; None on a new connection.
+    /// Returns how long the connection had been idle before its present use; None on a new connection.
     pub fn idle_before_use(&self) -> Option<Duration> {
         self.idle_before_use
     }
--- a/src/bin/sender/core.rs
+++ b/src/bin/sender/core.rs
@@ -27,21 +27,21 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// The state that the core starts with, as far as others need it.
+/// What other tasks need of the state that the core starts with.
 pub struct Start {
     /// The list that the watch of discovery continues from.
     pub watched: Catalogue,
-    /// The generation that the watch asks for changes since; None: it asks for the whole list.
+    /// The generation since which the watch asks for changes. None if it asks for the whole list.
     pub generation: Option<u64>,
     /// Whether the policy has yet to be told of the list in force.
     pub new_to_policy: bool,
-    /// The messages that the process before has handed over. None if there was no handover.
+    /// The messages that the previous process has handed over. None if there was no handover.
     pub handed_over: Option<HeldMessages>,
 }
 
 /// Why the core has stopped.
 pub enum Stop {
-    /// It was shut down, or no task is left that sends inputs.
+    /// The core was shut down, or no task is left that sends inputs.
     Finished,
     HandedOver(RemainingWork),
 }
@@ -57,7 +57,7 @@
 /// A message that a client handed in during the current round.
 struct Submitted {
     accepted: Rc<AcceptedMessage>,
-    /// More than one where the same message came twice in a round.
+    /// More than one if the message was handed in several times in this round.
     replies: Vec<oneshot::Sender<Reply>>,
 }
 
@@ -94,14 +94,14 @@
     clock_started_at: Instant,
     /// The policy's time at `clock_started_at`.
     clock_start: Ns,
-    /// The settings as the configuration has them, to compare with the next process's.
+    /// The settings as JSON. The next process uses the handed-over state only if its own are equal.
     settings_json: String,
     /// The list in force.
     directory: Rc<Directory>,
     on_demand: OnDemandList,
-    /// The list in force lacks endpoints of the list that the next changes are based on.
+    /// Whether the list in force lacks endpoints of the list on which the next changes build.
     list_incomplete: bool,
-    /// By name, the endpoints for which the policy was told what operators have set.
+    /// Numbers by name of the endpoints for which the policy was told of operators' changes.
     maintained: HashMap<String, EndpointId>,
     held: BTreeMap<u64, HeldMessage>,
     /// The numbers of the held messages, by trace id.
@@ -111,33 +111,39 @@
     attempts_in_flight: HashMap<(u64, u32), AttemptInFlight>,
     /// Events that the core itself has caused, for the next round.
     next_events: Vec<Event>,
+    /// When the policy is due for an [`Event::Timer`], on its clock.
     timer: Option<Ns>,
     next_id: u64,
-    /// Set on shutdown: nothing new is begun after this time.
+    /// Set when shutdown begins; new messages are refused while it is set. After this time the policy decides
+    /// nothing.
     shut_down_at: Option<Instant>,
     /// Set while the journal can't be written: when writing last failed.
     write_failed_at: Option<Instant>,
     handover_reply: Option<oneshot::Sender<Option<HandoverState>>>,
 }
 
-/// Where the policy's clock starts, so that attempts of earlier processes have times before it.
+/// Start of the policy's clock if a process continues no earlier one. Above 0, so that attempts of earlier
+/// processes have times before it.
 const CLOCK_START: Ns = 1_000_000 * SECOND;
-/// Inputs per round at most, so that a flood of them does not delay the replies.
+/// A round with this many inputs reads no more from `inbox`, except before a handover, so that a flood of
+/// them does not delay the replies.
 const MAX_ROUND_INPUTS: usize = 512;
-/// Destinations without work that the policy is told of per round after a whole list, which takes a few
-/// tenths of a millisecond.
+/// Maximum number of destinations without work of which the policy is told per round after a whole list.
+/// Telling it of so many takes a few tenths of a millisecond.
 const MAX_DESTINATIONS_TOLD: usize = 128;
-/// Rounds at most before a handover. While the journal can't be written, each round leaves work for the next.
+/// Maximum number of rounds before a handover, which is refused if work is left after them. While the journal
+/// can't be written, each round leaves work for the next.
 const MAX_SETTLE_ROUNDS: usize = 100;
-/// A 200 that arrives this shortly before its message's deadline, or after it, may have been written past the
-/// deadline.
+/// A 200 that arrives less than this before its message's deadline, or after it, may have been written past
+/// the client's deadline.
 ///
-/// The deadline counts from when the client sent the message, and a client waits this long for the reply that
-/// accepts it. The granularity of timers alone can make a late answer look timely.
+/// The client's deadline counts from when it sent the message, the sender's from when it read the headers. A
+/// client waits this long for the reply that accepts its message. The granularity of timers alone can make a
+/// late answer look timely.
 const LATE_ANSWER_MARGIN: Duration = Duration::from_millis(400);
 /// How often writing is retried after a failure when there is nothing else to write.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a process that resumes messages from the journal waits for a list from discovery.
+/// How long a process that starts without a handover waits for discovery's first list.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl<F: FileSystem> Core<F>
@@ -195,9 +201,9 @@
         self.clock_started_at + Duration::from_nanos((at - self.clock_start).max(0) as u64)
     }
 
-    /// Restores the state that the process before has handed over, or else the last snapshot, and puts a list
-    /// in force. `known` is the list of the configuration. The messages themselves are in the journal, by
-    /// number.
+    /// Restores the state that the previous process has handed over, or else the last snapshot, and puts a
+    /// list in force. `known` is the list of the configuration. The messages themselves are in the journal,
+    /// by number.
     pub fn start(&mut self, known: Catalogue, state: Option<HandoverState>) -> Start {
         let handed = state.and_then(|state| self.restore_handover(state));
         let (first, handed_over) = match handed {
@@ -210,7 +216,7 @@
         Start { watched, generation, new_to_policy, handed_over }
     }
 
-    /// Continues from the state of another process. Returns None if that one had other settings.
+    /// Continues from the state of another process. Returns None if that process had other settings.
     fn restore_handover(&mut self, state: HandoverState) -> Option<(NumberedCatalogue, HeldMessages)> {
         if state.settings_json != self.settings_json {
             tracing::warn!("the settings are new: going on from the journal alone");
@@ -219,16 +225,16 @@
         self.policy = state.policy.after_handover(self.settings.clone());
         self.continue_clock(state.clock);
         self.next_id = self.next_id.max(state.next_id);
-        let calls = state.attempts_in_flight.into_iter().map(|(id, n, endpoint)| ((id, n), endpoint));
-        self.attempts_in_flight = calls
-            .map(|(call, endpoint)| (call, AttemptInFlight { endpoint, cancel: Rc::default() }))
+        let attempts = state.attempts_in_flight.into_iter().map(|(id, n, endpoint)| ((id, n), endpoint));
+        self.attempts_in_flight = attempts
+            .map(|(attempt, endpoint)| (attempt, AttemptInFlight { endpoint, cancel: Rc::default() }))
             .collect();
         self.client.restore_idle_bounds(state.idle_bounds);
         Some((state.catalogue, state.held))
     }
 
-    /// Continues the policy's clock from a time of it and the Unix time in nanoseconds that it corresponds
-    /// to.
+    /// Continues the policy's clock from two times that correspond: the policy's time, and the Unix time in
+    /// nanoseconds.
     fn continue_clock(&mut self, (policy_time, unix_ns): (Ns, u64)) {
         (self.clock_started_at, self.clock_start) =
             (Instant::now(), policy_time + unix_time_ns().saturating_sub(unix_ns) as Ns);
@@ -273,8 +279,8 @@
         }
         if from_handover.is_none() {
             let first = timeout(FIRST_LIST_TIMEOUT, self.inbox.recv()).await;
-            if let Ok(Some(Input::Catalogue(taken))) = first {
-                self.apply_list(taken, &mut events);
+            if let Ok(Some(Input::Catalogue(list))) = first {
+                self.apply_list(list, &mut events);
             }
         }
         let from_handover = from_handover.unwrap_or_default();
@@ -409,7 +415,8 @@
         }
     }
 
-    /// Runs rounds until no input and no event is left. Returns false if that takes too many.
+    /// Runs rounds until no input and no event is left. Returns false if some are left after
+    /// `MAX_SETTLE_ROUNDS`.
     async fn settle(&mut self) -> bool {
         for _ in 0..MAX_SETTLE_ROUNDS {
             let mut inputs = Vec::new();
@@ -470,7 +477,8 @@
         self.shut_down_at.is_some() && idle && (self.held.is_empty() || self.is_past_shutdown())
     }
 
-    /// Tells the policy and the client of operators' changes to endpoints that have been listed since.
+    /// Tells the policy and the client of operators' changes to listed endpoints, except those of which they
+    /// were told already under the same number.
     fn apply_maintenance(&mut self, events: &mut Vec<Event>) {
         let (now, unix_ms) = (self.policy_time(Instant::now()), unix_time_ms());
         let catalogue = self.directory.catalogue();
@@ -488,7 +496,7 @@
         }
     }
 
-    /// Carries out an operator's call. Calls are idempotent: one that changes nothing succeeds as well.
+    /// Carries out an operator's call. Calls are idempotent: a call that changes nothing succeeds as well.
     fn set_maintenance(&mut self, name: &str, out: bool, events: &mut Vec<Event>) -> MaintenanceReply {
         let listed = self.directory.catalogue().id(name);
         if listed.is_none() && !self.maintenance.knows(name) {
@@ -623,7 +631,8 @@
                         attempt_deadline: limit,
                         send_before: by,
                     };
-                    // Grouped as the policy counts them: sends to one endpoint in one round share calls.
+                    // Grouped as the policy counts calls: the attempts of one round at one endpoint share
+                    // calls of up to `batch` messages.
                     let batch = self.directory.max_batch(endpoint);
                     match calls.iter_mut().rev().find(|(e, _)| *e == endpoint) {
                         Some((_, members)) if members.len() < batch => members.push(member),
@@ -674,9 +683,10 @@
         let written = self.write_records(&all).await;
         match written {
             Written::Done => {}
-            // What has ended has ended, even if it can't be written now.
+            // Ends have happened already, so their records are written later if they can't be written now.
             Written::Failed => self.write_eventually(all.drain(submitted.len()..).take(ended).collect()),
-            // The records may or may not be on disk, so those of what does not happen now are revoked.
+            // The records may or may not be on disk. Further records revoke the messages that are not
+            // accepted now and the attempts that are not made now.
             Written::NotSynced => {
                 let ends = submitted.keys().map(|id| Record::Ended(*id));
                 let never_ran = all[submitted.len() + ended..].iter().filter_map(|r| match r {
@@ -756,7 +766,7 @@
         round.submitted.insert(accepted.id, Submitted { accepted, replies: vec![reply] });
     }
 
-    /// Adds a message to those held, and returns it as the policy is to be told of it.
+    /// Adds a message to those held, and returns it in the form that the policy takes.
     fn hold(
         &mut self,
         message: Rc<AcceptedMessage>,
@@ -768,7 +778,7 @@
         let (id, dest) = (message.id, message.dest);
         let tenant = position(&self.program_settings.tenants, &message.tenant).unwrap_or(0);
         // Links the trace id, which is the same in every sender, to the number that other log lines of this
-        // one use.
+        // sender use.
         tracing::debug!(
             id,
             trace = message.trace_id,
@@ -890,7 +900,7 @@
     Done,
     /// None of the records was written.
     Failed,
-    /// The records were written, and a loss of power may undo that.
+    /// The records were written but not synced: a power failure may lose them.
     NotSynced,
 }
 
--- a/src/bin/sender/discovery.rs
+++ b/src/bin/sender/discovery.rs
@@ -13,7 +13,7 @@
 
 /// How long connecting to discovery may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a watch waits for changes, for a small fleet.
+/// How long a watch waits for changes in a small fleet.
 const WATCH_WAIT: Duration = Duration::from_secs(5);
 /// How long a call that asks for an immediate answer may take: discovery may take 2 s to reject a call.
 const IMMEDIATE_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -24,21 +24,23 @@
 /// pause. A change that the watch missed must be known 2 s after the end of its wait, of which `WATCH_GRACE`
 /// has passed by then.
 const MAX_WATCH_RESTART_PAUSE: Duration = Duration::from_millis(500);
-/// The mean time between two watches of all senders of a fleet together, and also between two calls after
-/// failures, as far as `MAX_PAUSE` allows.
+/// The mean time between two watches, and between two calls after failures as far as `MAX_PAUSE` allows,
+/// counted over all senders of a fleet.
 const FLEET_PAUSE: Duration = Duration::from_millis(500);
-/// How long after discovery has a change and can be reached again a sender must know the change, whatever
-/// failed before.
+/// Maximum time from when discovery has a change and can be reached again until a sender knows the change,
+/// whatever failed before.
 const MAX_NEWS_DELAY: Duration = Duration::from_secs(6);
 /// The longest pause after a failed call, however many have failed in a row. In the worst case discovery
 /// returns just after the start of a call that takes all of `IMMEDIATE_TIMEOUT` to fail. The remaining second
 /// is for the next call and for applying its changes.
 const MAX_PAUSE: Duration =
     MAX_NEWS_DELAY.saturating_sub(IMMEDIATE_TIMEOUT).saturating_sub(Duration::from_secs(1));
-/// The shortest pause after a failed call.
+/// The shortest pause after a failed call, except after the first in a row if its answer did not come or
+/// can't be used.
 const MIN_PAUSE: Duration = Duration::from_millis(50);
-/// The first and the longest pause after a list that exceeds its limits; the pause doubles each time. The
-/// next list is most likely too large as well, and fetching it may cost as much as the changes of a day.
+/// Upper bounds of the first and of the longest pause after a list that exceeds its limits; the bound doubles
+/// with each such list in a row, and a pause is drawn between half its bound and the bound. The next list is
+/// most likely too large as well, and fetching it may cost as much as the changes of a day.
 const FIRST_REFUSAL_PAUSE: Duration = Duration::from_secs(15);
 const MAX_REFUSAL_PAUSE: Duration = Duration::from_secs(300);
 
@@ -95,7 +97,7 @@
         bound.mul_f64(0.5 + self.random.f64() / 2.0)
     }
 
-    /// Resets the backoff after a list that was accepted.
+    /// Resets the backoff, after a list that was accepted and at a new address.
     fn reset(&mut self) {
         (self.failures, self.refusals) = (0, 0);
     }
--- a/src/bin/sender/handover.rs
+++ b/src/bin/sender/handover.rs
@@ -47,7 +47,8 @@
 const PREVIOUS_VERSION: u32 = 1;
 /// How long the old process may take to hand over, and a new one to send its request.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause before the old process is asked again, and between checks for its end.
+/// Pause before the old process is asked again, before accepting is tried again after an error, and between
+/// an old process's checks whether it may end.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// Bytes of the longest frame: the whole state, with room to spare.
 const MAX_FRAME_BYTES: usize = 16 << 20;
@@ -67,9 +68,9 @@
     ClientConnection {
         /// Bytes that were read of the next request.
         read: Bytes,
-        /// Whether the connection has sent a whole request.
+        /// Whether a request on the connection has been answered.
         whole: bool,
-        /// How long it has been idle.
+        /// Time since the connection was opened or its last answer was given.
         stood: Duration,
     },
     /// Old to new: how attempts ended.
@@ -98,7 +99,7 @@
     State(Box<StateV1>),
 }
 
-/// The path of the handover socket, by way of the folder's descriptor: a socket's address can't hold a long
+/// The path of the handover socket, through the folder's descriptor: a socket's address can't hold a long
 /// path.
 struct SocketPath {
     _folder: File,
@@ -235,8 +236,8 @@
             .unwrap_or(Err(io::ErrorKind::TimedOut.into()))
         {
             Ok((state, predecessor)) => {
-                // The old process has released the lock before. If it has taken the lock back since, it has
-                // lost this connection.
+                // The old process released the lock before it sent its state. It takes the lock back only
+                // after it has lost this connection.
                 let owner = Owner::claim(folder)?
                     .ok_or(io::Error::other("the old process has taken the journal back"))?;
                 return Ok((owner, Some((state, predecessor))));
@@ -289,7 +290,7 @@
     writer: Writer,
 }
 
-/// Waits for a new process to ask for a handover. Invalid requests are closed.
+/// Waits for a new process to ask for a handover. Connections with an invalid request are closed.
 pub async fn next_request(listener: Option<&UnixListener>) -> Successor {
     let Some(listener) = listener else { return std::future::pending().await };
     loop {
@@ -314,14 +315,15 @@
 /// How the old process's part in a handover ended.
 #[derive(Debug, PartialEq, Eq)]
 pub enum HandoverEnd {
-    /// This process was told to end, and has nothing left to forward or no time left.
+    /// This process was told to end, and has nothing left to forward, no time left, or no connection to the
+    /// new process.
     Completed,
     /// The new process has died: this one has to start over.
     SuccessorLost,
 }
 
-/// Hands over to the new process, and forwards what still reaches this one until the new process dies or this
-/// one is told to end (`terminated`), and then for `grace` at most.
+/// Hands over to the new process, and forwards to it what still reaches this one, until the new process dies.
+/// Once this process is told to end (`terminated`), goes on for at most `grace`, while anything is left.
 pub async fn serve_successor(
     successor: Successor,
     (state, listener): (HandoverState, &TcpListener),
@@ -346,7 +348,7 @@
             return if end_by.is_some() { HandoverEnd::Completed } else { HandoverEnd::SuccessorLost };
         }
         sent = Ok(());
-        // `server.open` no longer counts a connection that waits to be handed over.
+        // `server.open_connections` no longer counts a connection that waits to be handed over.
         let waiting = !moved.is_empty() || !inbox.is_empty() || !control_inbox.is_empty();
         let in_progress = !attempts_in_flight.is_empty()
             || !submissions.is_empty()
--- a/src/bin/sender/journal.rs
+++ b/src/bin/sender/journal.rs
@@ -18,9 +18,9 @@
 use store::log::{Entry, Log, LogConfig, OpenReport};
 use tokio::time::Instant;
 
-/// Bytes of a message's body at most.
+/// Maximum size of a message's body in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// Bytes of a message's class, tenant, id and key together at most.
+/// Maximum size in bytes of a message's class, tenant, trace id and idempotency key together.
 const MAX_TEXT_BYTES: usize = 4 * 256;
 /// Share of the disk limit for the journal. The rest is for the other files in the state folder.
 const DISK_SHARE: f64 = 0.94;
@@ -32,13 +32,14 @@
     pub folder: &'a Path,
     /// The sender's name. The folder of another sender is refused.
     pub name: &'a str,
+    /// The disk limit of the sender, in MB of 10^6 bytes.
     pub disk_mb: f64,
     pub max_attempts: u32,
     pub sync: Sync,
 }
 
 impl JournalOptions<'_> {
-    /// Attempts per message that space is reserved for.
+    /// Returns the number of attempts per message for which space is reserved.
     fn attempts(&self) -> usize {
         self.max_attempts.min(1_000) as usize
     }
@@ -59,12 +60,13 @@
     pending: PendingMessages,
     /// Upper bound in bytes of all records of the pending messages.
     reserved: u64,
-    /// The most that `reserved` may come to.
+    /// Maximum of `reserved`, in bytes.
     capacity: u64,
     max_attempts: usize,
     sync: Sync,
+    /// When the last sync began, or the journal was opened.
     synced_at: Instant,
-    /// Whether anything was written since the last sync.
+    /// Whether anything was written since the last successful sync.
     unsynced: bool,
     /// Records that already apply and could not be written yet.
     backlog: Vec<Record>,
@@ -134,7 +136,7 @@
         Ok(())
     }
 
-    /// Applies records of what has already happened, and writes them as soon as that succeeds.
+    /// Applies records of what has already happened, and writes them as soon as writing succeeds.
     ///
     /// The backlog is bounded by the number of pending messages, as no message is accepted while writing
     /// fails.
--- a/src/bin/sender/journal/migration.rs
+++ b/src/bin/sender/journal/migration.rs
@@ -18,7 +18,7 @@
 pub fn prepare(folder: &Path, config: &LogConfig) -> Result<PathBuf, OpenError> {
     let journal = folder.join("journal");
     let (next, old) = (folder.join("journal.next"), folder.join("journal.old"));
-    // Left by an interrupted rewrite of the old file, which still holds everything itself.
+    // Left by an interrupted rewrite of the journal file, which is itself still complete.
     remove_if_present(&folder.join("journal.new"))?;
     if old.exists() {
         // The new folder was complete before the old file was renamed.
@@ -32,7 +32,7 @@
         }
     } else if journal.is_file() {
         tracing::warn!(
-            "the journal is taken over into a log: from here on senders of before can't read it \
+            "the journal is taken over into a log: from here on senders of earlier versions can't read it \
              (the way back: cairnpulley state export --as journal-file)"
         );
         if next.exists() {
--- a/src/bin/sender/learned.rs
+++ b/src/bin/sender/learned.rs
@@ -1,7 +1,7 @@
 //! The snapshot of what the policy has learned, stored beside the journal.
 //!
-//! A process that starts after a crash continues from it. The file is replaced by a rename; a snapshot that
-//! does not fit the process is ignored, with a warning.
+//! A process that starts without a handover continues from the snapshot. The file is replaced by a rename; a
+//! snapshot that does not fit the process is ignored, with a warning.
 use crate::config::Config;
 use sender::api::{EndpointId, Ns};
 use sender::policy::Sender;
@@ -19,7 +19,8 @@
 const PREVIOUS_FORMAT: u32 = 1;
 /// Bytes of the checksum before the packed content.
 const CHECKSUM_BYTES: usize = 4;
-/// An older snapshot says little of the platform's present state: its limits and shares are out of date.
+/// Maximum age of a snapshot that is used. An older one says little of the platform's present state: its
+/// limits and shares are out of date.
 const MAX_AGE: Duration = Duration::from_secs(600);
 /// Share of the disk limit for a snapshot. While one is replaced there are two.
 const DISK_SHARE: f64 = 0.02;
@@ -52,8 +53,8 @@
     pub numbers: EndpointNumbers,
 }
 
-/// A snapshot of the previous format, with the name and machine type of every endpoint that lists ever named,
-/// by number.
+/// A snapshot of the previous format, with the name and machine type of every endpoint that lists ever named.
+/// The index in `endpoints` is the endpoint's number.
 #[derive(Deserialize)]
 struct SnapshotV1 {
     #[serde(rename = "module")]
@@ -96,7 +97,7 @@
     name: String,
     settings_json: String,
     written_at: Instant,
-    /// Whether the last write failed, which was logged then.
+    /// Whether the last write failed. Of several failures in a row only the first is logged.
     failing: bool,
 }
 
@@ -118,7 +119,7 @@
 }
 
 impl SnapshotFile {
-    /// Returns None where the configuration asks for no snapshots.
+    /// Returns None if the configuration asks for no snapshots.
     pub fn new(config: &Config) -> Option<SnapshotFile> {
         Some(SnapshotFile {
             path: config.state_folder.join("learned"),
@@ -136,8 +137,8 @@
         self.written_at + self.interval
     }
 
-    /// Replaces the snapshot. The first of several failures in a row is logged; the sender works without a
-    /// snapshot.
+    /// Replaces the stored snapshot. Of several failures in a row only the first is logged; the sender goes
+    /// on without a new snapshot.
     pub fn write(&mut self, snapshot: &Snapshot) {
         self.written_at = Instant::now();
         let result = self.try_write(snapshot);
--- a/src/bin/sender/process_state.rs
+++ b/src/bin/sender/process_state.rs
@@ -40,8 +40,8 @@
     pub idle_bounds: IdleBounds,
 }
 
-/// Most endpoints of a list that is handed over whole. A longer one would stall both processes and exceed a
-/// frame.
+/// Maximum number of endpoints of a list that is handed over whole. A longer one would stall both processes
+/// and exceed the maximum length of a frame.
 const MAX_WHOLE_LIST: usize = 10_000;
 
 /// Endpoints of the list under the policy's numbers: all of them, or those that the policy knows.
--- a/src/bin/sender/server.rs
+++ b/src/bin/sender/server.rs
@@ -32,7 +32,8 @@
 use tokio::sync::{mpsc, oneshot, watch, Notify};
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-/// How long a connection may take to send its first request in full, and a later request to send its body.
+/// How long a connection may take from its opening to the end of its first request, from the headers to the
+/// end of the body of a later request, and to complete a request's headers once closing has begun.
 /// Clients with malformed or incomplete requests must get an error or a close within 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How long accepting pauses after it has failed.
@@ -114,8 +115,9 @@
     }
 
     /// Returns the rank by which connections are evicted, the lowest first; None if this one may not be
-    /// evicted. Closing a lingering or idle connection costs its client nothing. After those comes the
-    /// connection with an incomplete request that has been silent longest.
+    /// evicted. Closing a lingering or idle connection costs its client nothing. After those come
+    /// connections with an incomplete request. Within a class, the one that has been silent longest comes
+    /// first.
     fn eviction_rank(&self) -> Option<(EvictionClass, Instant)> {
         if self.evicted.get().is_some() {
             return None;
@@ -183,9 +185,9 @@
     pub stream: TcpStream,
     /// Bytes of the next request that were read already.
     pub buffered: Bytes,
-    /// Whether the connection has had a complete request.
+    /// Whether a request on the connection has been answered.
     pub had_request: bool,
-    /// Time since it was opened or its last answer was given.
+    /// Time since the connection was opened or its last answer was given.
     pub idle_time: Duration,
 }
 
@@ -350,8 +352,8 @@
         });
     }
 
-    /// Serves a connection until it is closed, or until it can be moved, which it then returns. If `full`,
-    /// each of its requests is answered 503.
+    /// Serves a connection until it is closed, or returns it between two requests if it is to be handed over.
+    /// If `full`, each of its requests is answered 503.
     async fn serve(
         &self,
         client: ClientConnection,
@@ -393,7 +395,7 @@
         let io = TokioIo::new(join(Cursor::new(buffered).chain(reader), writer));
         let mut connection = Builder::new().serve_connection(io, service);
         let mut handing_over = false;
-        // When closing began, if it did so in the middle of a request.
+        // When closing began, after a change of the phase or an eviction.
         let mut closing_since: Option<Instant> = None;
         // Takes the connection apart into its socket and the bytes that were read but not used.
         let into_stream = |parts: Parts<_, _>| -> (Option<TcpStream>, Bytes) {
@@ -534,8 +536,8 @@
         }
     }
 
-    /// Parses a message's headers; returns the message, still without its body, and the time left to deliver
-    /// it.
+    /// Parses a message's headers. Returns the message, still without its number, deadline and body, and the
+    /// time left to deliver it.
     fn parse_headers(
         &self,
         headers: &HeaderMap,
--- a/src/records.rs
+++ b/src/records.rs
@@ -12,8 +12,8 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Bytes of an endpoint's name at most; lists with longer names are refused, so that the size of a record is
-/// bounded.
+/// Maximum length of an endpoint's name in bytes. Entries with longer names are left out of a list, so that
+/// the size of a record is bounded.
 pub const MAX_ENDPOINT_NAME_BYTES: usize = catalogue::MAX_NAME_BYTES;
 
 /// Returns the current Unix time in milliseconds.
@@ -61,13 +61,13 @@
     pub never_ran: bool,
 }
 
-/// How a message ended that was not delivered.
+/// How an undelivered message ended.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq)]
 pub enum Undelivered {
-    /// It may have taken effect.
+    /// The message may have taken effect.
     #[serde(rename = "g")]
     GivenUp,
-    /// It had no effect. Carries the milliseconds after which its client may retry, if known.
+    /// The message had no effect. Carries the milliseconds after which its client may retry, if known.
     #[serde(rename = "h")]
     HandedBack(Option<u64>),
 }
@@ -82,8 +82,8 @@
     /// The attempt with this number is known to have had no effect.
     #[serde(rename = "N")]
     AttemptNeverRan(u64, u32),
-    /// The notice of how the message ended is on its way. Written before the notice is sent: its client may
-    /// then hand the message in again, so the next process must not send it as well.
+    /// The notice of how the message ended is on its way. Written before the notice is sent: the
+    /// message's client may then hand it in again, so the next process must not make further attempts.
     #[serde(rename = "D")]
     NoticeStarted(u64, Undelivered),
     /// The message has ended: nothing more has to be done for it.
@@ -109,6 +109,6 @@
 pub struct PendingMessage {
     pub accepted: Rc<AcceptedMessage>,
     pub attempts: Vec<StartedAttempt>,
-    /// Set once the message has failed and its notice is on its way.
+    /// Set once the notice of how the message ended is on its way.
     pub undelivered: Option<Undelivered>,
 }
--- a/src/records/folder.rs
+++ b/src/records/folder.rs
@@ -126,8 +126,7 @@
     })
 }
 
-/// Writes pending messages to a new folder, as a log, and copies the list of endpoints that operators took
-/// out.
+/// Writes pending messages to a new folder, as a log, and copies the file of operators' changes to endpoints.
 pub fn write(from: &Path, pending: &PendingMessages, owner: &str, to: &Path) -> Result<(), FolderError> {
     with_path(to, fs::create_dir_all(to))?;
     if with_path(to, fs::read_dir(to))?.next().is_some() {
@@ -137,7 +136,8 @@
     with_path(&path, fs::create_dir(&path))?;
     let failed = |error| FolderError::Open { path: path.clone(), error };
     let bytes: u64 = pending.messages().values().map(|m| payload::encode_message(m).len() as u64).sum();
-    // Twice the size of the messages: a log accepts a new key only while it also has room to clean a segment.
+    // Twice the size of the messages and 8 MiB: a log accepts a new key only while it also has room to clean
+    // a segment.
     let max_bytes = 2 * bytes + (8 << 20);
     let config = LogConfig {
         owner: owner.to_string(),
@@ -180,7 +180,7 @@
     pub deadline_ms: i64,
     pub body_bytes: usize,
     pub attempts: Vec<AttemptView<'a>>,
-    /// `given_up` or `handed_back` once the notice of it is on its way.
+    /// `given_up` or `handed_back` once the message's notice is on its way.
     pub decided: Option<&'static str>,
 }
 
--- a/src/records/journal_file.rs
+++ b/src/records/journal_file.rs
@@ -1,6 +1,7 @@
 //! The journal format that preceded the log: a single file of records.
 //!
-//! Each record is framed by its length and a CRC-32, and consists of a head in JSON and the message's body.
+//! Each record is framed by its length and a CRC-32, and consists of the length of its head, the head in
+//! JSON, and the body if it is that of an accepted message.
 //! Such files are read when a sender takes over from that version, and written to go back to it.
 use super::{AcceptedMessage, PendingMessage, Record, StartedAttempt};
 use bytes::Bytes;
@@ -8,7 +9,7 @@
 
 /// Bytes of a record's length and checksum.
 const FRAME_HEADER_BYTES: usize = 8;
-/// Bytes of the longest record: a body of 64 KiB and its headers.
+/// Maximum size of a record in bytes: enough for a body of 64 KiB and the record's head.
 const MAX_RECORD_BYTES: usize = 256 << 10;
 
 /// Decodes the record at the start of `bytes`; returns it with its length, or None where it is torn or
--- a/src/records/payload.rs
+++ b/src/records/payload.rs
@@ -1,17 +1,21 @@
-//! The format of records in the log: a byte for the format version, then MessagePack with field names, then
-//! the body.
+//! The format of records in the log.
+//!
+//! The payload of a whole message is a byte for the format version, the length of its head, the head in
+//! MessagePack with field names, and the body. The payload of an addition is the version byte and a value in
+//! MessagePack.
 use super::{AcceptedMessage, PendingMessage, Record, StartedAttempt, Undelivered, MAX_ENDPOINT_NAME_BYTES};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 use store::frame::{Operation, RECORD_HEADER_BYTES};
 
+/// The version of the format.
 const FORMAT: u8 = 1;
 /// Bytes before the head of a message: the format, and the head's length.
 const PREFIX_BYTES: usize = 5;
 /// Upper bound in bytes of a message's first record without its texts and body.
 const MAX_MESSAGE_OVERHEAD_BYTES: usize = 160;
-/// Upper bound in bytes of the record of an attempt and that of it never having run.
+/// Upper bound in bytes of the two records of an attempt: that it started, and that it never ran.
 const MAX_ATTEMPT_BYTES: usize =
     RECORD_HEADER_BYTES + 30 + MAX_ENDPOINT_NAME_BYTES + RECORD_HEADER_BYTES + 16;
 /// Upper bound in bytes of the records of a message's end.
@@ -134,7 +138,7 @@
 mod tests {
     use super::*;
 
-    /// A message with the longest value in every field stays within the bounds that space is reserved by.
+    /// A message with the longest value in every field stays within the bounds by which space is reserved.
     #[test]
     fn records_of_longest_message_stay_within_bounds() {
         let text = |length: usize| "\u{1}".repeat(length);
