--- a/crates/catalogue/src/intake.rs
+++ b/crates/catalogue/src/intake.rs
@@ -1,6 +1,7 @@
 //! Reads lists of endpoints as a stream.
 //!
-//! One entry is in memory at a time, and the current catalogue does not change until the whole list was read.
+//! The text of only one entry is in memory at a time. The current catalogue is not changed: a list that is
+//! read to its end within the limits gives the next catalogue.
 
 mod bounded_reader;
 mod builder;
@@ -54,7 +55,8 @@
     builder.finish(read)
 }
 
-/// Reads the list that is a member of a JSON object; `None` if the object has no such member.
+/// Reads the list that is a member of a JSON object and applies it to an empty catalogue; `None` if the
+/// object has no such member.
 pub fn read_member(
     reader: impl Read,
     member: &str,
@@ -69,5 +71,5 @@
     let mut found = false;
     let object = MemberSeed { name: member, found: &mut found, builder: &mut builder, progress };
     let read = object.deserialize(&mut deserializer);
-    builder.finish(read).map(|taken| found.then_some(taken))
+    builder.finish(read).map(|loaded| found.then_some(loaded))
 }
--- a/crates/catalogue/src/intake/bounded_reader.rs
+++ b/crates/catalogue/src/intake/bounded_reader.rs
@@ -48,9 +48,9 @@
 impl<R: Read> Read for BoundedReader<R> {
     fn read(&mut self, buffer: &mut [u8]) -> Result<usize> {
         let count = self.reader.read(buffer)?;
-        let since = self.progress.0.get() + count as u64;
-        self.progress.0.set(since);
-        if since > self.max_entry_bytes.saturating_add(BUFFER_BYTES as u64) {
+        let bytes_since_entry = self.progress.0.get() + count as u64;
+        self.progress.0.set(bytes_since_entry);
+        if bytes_since_entry > self.max_entry_bytes.saturating_add(BUFFER_BYTES as u64) {
             return Err(Error::other(format!("an entry is longer than {} bytes", self.max_entry_bytes)));
         }
         Ok(count)
--- a/crates/catalogue/src/snapshot.rs
+++ b/crates/catalogue/src/snapshot.rs
@@ -127,18 +127,19 @@
         })
     }
 
-    /// Heap memory of this snapshot, including what it shares with others. Spare capacity is not counted;
-    /// once a list was read, up to a quarter of the size of the indexes remains of it.
+    /// Heap memory of this snapshot in bytes, including what it shares with others. Spare capacity and the
+    /// names that were removed lately are not counted. After a whole list was read, the indexes have spare
+    /// capacity of up to a quarter of their size and a few entries in each part.
     pub fn heap_bytes(&self) -> usize {
         let inner = &self.inner;
         let pages: usize = inner.pages.iter().flatten().map(|page| page.heap_bytes()).sum();
-        let directory = inner.pages.len() * size_of::<Option<Arc<Page>>>();
+        let table_of_pages = inner.pages.len() * size_of::<Option<Arc<Page>>>();
         let indexes = inner.by_name.heap_bytes() + inner.by_destination.heap_bytes();
-        pages + directory + indexes + inner.zones.heap_bytes() + inner.machine_types.heap_bytes()
+        pages + table_of_pages + indexes + inner.zones.heap_bytes() + inner.machine_types.heap_bytes()
     }
 
-    /// Creates a catalogue with the numbers of another process, as in an upgrade. `next_id` is above all of
-    /// them.
+    /// Creates a catalogue with the numbers of another process, as in an upgrade. The next new name gets
+    /// `next_id`, or the number after the highest one of the entries if that is higher.
     pub fn from_numbered<'a>(
         entries: impl IntoIterator<Item = (EndpointId, Endpoint<'a>)>,
         next_id: EndpointId,
@@ -153,7 +154,7 @@
     }
 
     /// Adds the endpoints of another catalogue whose names are not listed here, under new numbers, and adopts
-    /// its generation.
+    /// the generation of `other`.
     pub fn add_missing(&mut self, other: &Catalogue) {
         for endpoint in other.ids().filter_map(|id| other.get(id)) {
             if self.id(endpoint.name).is_none() {
@@ -222,7 +223,8 @@
         Arc::make_mut(&mut inner.removed_names).add(name, id);
     }
 
-    /// Remembers the numbers of endpoints that are listed in `before` and no longer here.
+    /// Remembers the numbers of endpoints that are listed in `before` and no longer here; the highest ones if
+    /// there are more than [`removed_names::CAPACITY`].
     pub(crate) fn remember_removed(&mut self, before: &Catalogue) {
         let removed: Vec<EndpointId> = before.ids().filter(|&id| self.inner.record(id).is_none()).collect();
         if removed.is_empty() {
--- a/crates/store/src/folder_scan.rs
+++ b/crates/store/src/folder_scan.rs
@@ -1,5 +1,5 @@
 //! Reads the folder of a log without changing it: the manifest, the segments and their records in order.
-//! Damage is classified, which tells a tail torn by a crash from lost records.
+//! Classifies damage, to tell a tail torn by a crash from lost records.
 use crate::file_system::FileSystem;
 use crate::frame::{self, Record, FORMAT_VERSION, SEGMENT_HEADER_BYTES};
 use crate::segment_scan::scan_segment;
@@ -7,7 +7,7 @@
 use std::io;
 use std::ops::Range;
 
-/// Name of the manifest, which says whose the folder is and which segment is the first that counts.
+/// Name of the manifest, which gives the owner of the folder and the first segment that counts.
 pub const MANIFEST: &str = "manifest";
 /// Name of a manifest that is being written, before it replaces the old one.
 pub const MANIFEST_NEW: &str = "manifest.new";
@@ -34,7 +34,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "damage")]
 pub enum Damage {
-    /// The end of the last segment is incomplete, as a crash in the middle of a write leaves it.
+    /// The last segment ends with `bytes` bytes, from offset `at` on, that are no records, as a crash in the
+    /// middle of a write leaves them.
     TornTail { segment: u64, at: u64, bytes: u64 },
     /// Bytes that are no records, with records or segments after them.
     Middle { segment: u64, range: Range<u64> },
@@ -52,8 +53,7 @@
         matches!(self, Damage::TornTail { .. })
     }
 
-    /// The segment and the byte range that is damaged, unless the damage is a torn tail or has no bytes of
-    /// its own.
+    /// The damaged byte range and its segment; `None` for a torn tail, and for damage that has no byte range.
     pub fn byte_range(&self) -> Option<(u64, Range<u64>)> {
         match self {
             Damage::Middle { segment, range } => Some((*segment, range.clone())),
@@ -107,13 +107,14 @@
     pub owner: Option<String>,
     /// The first segment that counts, as given by the manifest.
     pub first_segment: Option<u64>,
-    /// Segments that count, in order: number, and length up to a torn tail.
+    /// Segments that count, in order: number, and length in bytes up to a torn tail.
     pub segments: Vec<(u64, u64)>,
     /// Segments before the first one that counts.
     pub stale: Vec<u64>,
-    /// Segment with a torn tail, and the length to keep of it; 0 if it holds no record.
+    /// Segment with a torn tail, and the length to keep in bytes; 0 if neither its header nor a record can be
+    /// read.
     pub torn: Option<(u64, u64)>,
-    /// Whether a new manifest was written that did not replace the old one.
+    /// Whether there is a new manifest that has not replaced the old one.
     pub manifest_new: bool,
     /// Number of records that count.
     pub records: usize,
@@ -128,7 +129,8 @@
 impl FolderScan {
     /// Reads the whole folder and calls `read` with the segment number and each record that counts, in order.
     ///
-    /// With `owner`, the folder of another owner is refused.
+    /// Refuses the folder if one of its files names another owner than `owner` or, without `owner`, if its
+    /// files name different owners.
     pub fn read(
         files: &impl FileSystem,
         owner: Option<&str>,
@@ -201,8 +203,8 @@
 
     /// Reads the records of a segment.
     ///
-    /// `bound` is the first sequence number of the next segment that has a readable header: records from
-    /// there on were never acknowledged.
+    /// `bound` is the first sequence number of the next segment that has a readable header: records of this
+    /// segment with that number or a higher one were never acknowledged.
     fn read_segment(
         &mut self,
         files: &impl FileSystem,
@@ -216,7 +218,7 @@
         let segment = scan_segment(&bytes, self.next_sequence - 1);
         let mut length = bytes.len() as u64;
         if segment.header.is_none() {
-            // The header is torn: no record was written to the segment.
+            // A last segment without a header and a record: its header is torn, and no record was written.
             if is_last && segment.records.is_empty() {
                 self.damage.push(Damage::TornTail { segment: number, at: 0, bytes: length });
                 self.torn = Some((number, 0));
@@ -228,7 +230,7 @@
             if bound.is_some_and(|bound| record.sequence >= bound) {
                 break;
             }
-            // A copy of a record that was read already, written again after a failed write or sync.
+            // The number was read already: after a failed write or sync, numbers are given again.
             if record.sequence < self.next_sequence {
                 continue;
             }
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,6 +1,6 @@
 //! The byte format of a segment: a header, followed by records.
 //!
-//! All numbers are little endian.
+//! All numbers are little endian. The sizes below are in bytes.
 //!
 //! Segment header (96 bytes): magic 8, format version 2, length of the owner's name 2, segment number 8,
 //! sequence number of the first record 8, owner's name 64, CRC-32C of all these bytes 4.
@@ -54,7 +54,7 @@
 /// One record, with its payload borrowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record<'a> {
-    /// Counts the records of the log, across segments.
+    /// Number of the record in the log, counted across segments.
     pub sequence: u64,
     pub key: u64,
     pub operation: Operation,
@@ -77,7 +77,7 @@
     pub number: u64,
     /// Sequence number of the segment's first record.
     pub first_sequence: u64,
-    /// Name of the process that the segment belongs to.
+    /// Name of the folder's owner.
     pub owner: String,
 }
 
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -10,11 +10,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 
-/// A segment takes up to this fraction (1/16) of the limit.
+/// A segment is filled up to the limit divided by this, in whole blocks, but at least up to 4 blocks.
 const SEGMENTS_PER_LIMIT: u64 = 16;
-/// Quarantined bytes take up to this fraction (1/32) of the limit.
+/// Quarantine files take up to the limit divided by this.
 const QUARANTINES_PER_LIMIT: u64 = 32;
-/// Space reserved for the manifest: two files exist while it is replaced.
+/// Space reserved for the manifest: one block for each of the two files that exist while it is replaced.
 const MANIFEST_BYTES: u64 = 2 * BLOCK_BYTES;
 
 /// Settings of a log.
@@ -22,19 +22,19 @@
 pub struct LogConfig {
     /// Name of the folder's owner, of 64 bytes at most. The folder of another owner is refused.
     pub owner: String,
-    /// Limit on the disk space of all files together, each counted in whole blocks.
+    /// Limit on the disk space of all files together, in bytes; each file is counted in whole blocks.
     pub max_bytes: u64,
     /// Longest payload that may be appended, 256 KiB at most.
     pub max_payload_bytes: usize,
-    /// Whether the log syncs names, headers and moved records by itself, so that a loss of power loses
-    /// nothing that was synced.
+    /// Whether the log itself syncs the folder, the manifest, headers and moved records, so that a loss of
+    /// power loses nothing that was synced.
     pub durable: bool,
 }
 
 /// What was found when the log was opened.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct OpenReport {
-    /// Number of records that were read.
+    /// Number of records that count; each was passed to `read`.
     pub records: usize,
     /// Damage that was found.
     pub damage: Vec<Damage>,
@@ -42,7 +42,8 @@
     pub quarantine: Quarantine,
 }
 
-/// Provides the current state of keys, for records that are written again in another segment.
+/// Provides the current state of keys, which the log writes again to another segment when it cleans a
+/// segment or after a failure.
 pub trait SnapshotSource {
     /// The whole state of a key as the payload of one [`Operation::Put`]; `None` if the key is not live.
     fn snapshot(&self, key: u64) -> Option<Vec<u8>>;
@@ -76,11 +77,11 @@
 pub struct LogStats {
     /// Bytes of records written to segments.
     pub written_bytes: u64,
-    /// Part of them that cleaning moved from old segments.
+    /// Part of the written bytes that cleaning moved from old segments.
     pub moved_bytes: u64,
     /// Segments removed.
     pub removed_segments: u64,
-    /// Syncs of segments.
+    /// Syncs of records, including failed ones; syncs of a segment's header are not counted.
     pub syncs: u64,
 }
 
@@ -168,12 +169,13 @@
         Ok((log, OpenReport { records: scan.records, damage: scan.damage, quarantine }))
     }
 
-    /// Disk space of all files, in whole blocks.
+    /// Disk space of all files in bytes, each counted in whole blocks, with the space reserved for the
+    /// manifest.
     pub fn used_bytes(&self) -> u64 {
         MANIFEST_BYTES + self.quarantine_bytes + self.index.allocated_bytes()
     }
 
-    /// Length of all records of live keys, as they were written.
+    /// Length of the records of all live keys in bytes, from the last put of each key on.
     pub fn live_bytes(&self) -> u64 {
         self.index.live.values().map(|l| l.bytes).sum()
     }
@@ -183,9 +185,10 @@
         self.stats
     }
 
-    /// Appends records. They are durable after the next successful [`Log::sync`].
+    /// Appends records. If the log is `durable`, they survive a loss of power after the next successful
+    /// [`Log::sync`].
     ///
-    /// `snapshots` has the state of keys without these records. After an error the records count as not
+    /// `snapshots` provides the state of keys before these records. After an error the records count as not
     /// written; after a crash some of them may be found all the same.
     pub fn append(&mut self, entries: &[Entry], snapshots: &impl SnapshotSource) -> io::Result<()> {
         let max_payload_bytes = self.config.max_payload_bytes.min(MAX_PAYLOAD_BYTES);
@@ -208,8 +211,9 @@
         })
     }
 
-    /// Removes segments from a number on whose record count makes them useless, so that a disk on which
-    /// writes keep failing does not fill up. A segment that can't be removed still counts towards the limit.
+    /// Ends the current segment, and removes the segments with the number `first` or a higher one for whose
+    /// number of records `is_useless` is true, so that a disk on which writes keep failing does not fill up.
+    /// A segment that can't be removed still counts towards the limit.
     fn remove_segments_from(&mut self, first: u64, is_useless: impl Fn(u64) -> bool) {
         self.current = None;
         let segments = self.index.segments.range(first..).filter(|(_, s)| is_useless(s.records));
@@ -232,7 +236,7 @@
     }
 
     /// Begins a sync that can run on another thread; `None` if everything is synced. Nothing may be appended
-    /// until its result was passed to [`Log::finish_sync`].
+    /// until the result of the sync was passed to [`Log::finish_sync`].
     pub fn begin_sync(
         &mut self,
         snapshots: &impl SnapshotSource,
@@ -280,7 +284,8 @@
         Ok(())
     }
 
-    /// Writes everything that is not known to be synced again, to a new segment.
+    /// Writes again, from a new segment on, the state of keys with records that are not known to be synced,
+    /// and the deletions that are not.
     ///
     /// If the log is not `durable`, the records from before the failed call are still in the files, and only
     /// the keys that the failed call put are deleted.
@@ -308,7 +313,7 @@
         // Deletes come first, so that a key that was deleted and put again stays live.
         let entries: Vec<Entry> = deletes.chain(puts).collect();
         let bytes_needed: u64 = entries.iter().map(|e| (RECORD_HEADER_BYTES + e.payload.len()) as u64).sum();
-        // No segment can be removed before this is written, and the limit holds nevertheless.
+        // No segment can be removed before these entries are written, so they have to fit as things are.
         self.check_room(bytes_needed)?;
         let (segment, sequence) = (self.next_segment, self.next_sequence);
         let result = self.write_entries(&entries).and_then(|()| match &mut self.current {
@@ -321,8 +326,8 @@
         match result {
             Ok(()) => self.needs_rewrite = false,
             // The next try writes everything again under the same sequence numbers. Should a removed file
-            // reappear after a loss of power, the first sequence number of the later segment shows where its
-            // records stop counting.
+            // reappear after a loss of power, the first sequence number of the later segment shows from where
+            // on the records of that file don't count.
             Err(_) => {
                 self.remove_segments_from(segment, |_| true);
                 self.next_sequence = sequence;
@@ -353,7 +358,8 @@
     /// Cleans and removes segments until `bytes_needed` more bytes fit and room to clean the next segment is
     /// left.
     ///
-    /// Records may use that reserve only if no key is put with them, so that keys can always be deleted.
+    /// If that fails, records without a put may use the room for cleaning too, so that keys can still be
+    /// deleted. So may all records while the log has no segment.
     fn make_room(
         &mut self,
         bytes_needed: u64,
@@ -388,8 +394,8 @@
         }
     }
 
-    /// Writes the snapshots of keys that begin in the oldest segment again, after which no live key begins in
-    /// it.
+    /// Writes again the snapshots of `keys`, which are the live keys that begin in the oldest segment.
+    /// Afterwards no live key begins there.
     fn move_keys(&mut self, keys: &[u64], snapshots: &impl SnapshotSource) -> io::Result<()> {
         let puts: Vec<(u64, Vec<u8>)> =
             keys.iter().filter_map(|k| Some((*k, snapshots.snapshot(*k)?))).collect();
@@ -411,7 +417,7 @@
         let dead = self.index.removable(self.current.as_ref().map(|(n, _)| *n));
         let Some(last) = dead.last() else { return Ok(()) };
         if self.config.durable {
-            // The deletions and moved records that made them removable have to be durable first.
+            // The deletions and moved records that made these segments removable have to be durable first.
             self.sync_current()?;
         }
         self.write_manifest(last + 1)?;
@@ -497,10 +503,10 @@
         let number = *number;
         if let Err(error) = file.append(bytes) {
             // How much was written is unknown. The segment gets no more records; the first sequence number of
-            // the next one shows which of its records count.
+            // the next segment shows which records of this one count.
             self.needs_rewrite = true;
             let length = self.index.length(number);
-            // If this fails too, the tail is still ignored, and takes space until the segment is removed.
+            // If the truncation fails too, the tail is ignored, but takes space until the segment is removed.
             if self.files.truncate(&segment_name(number), length).is_err() {
                 self.index.grow(number, bytes.len() as u64);
             }
@@ -520,8 +526,8 @@
         }
         let number = self.next_segment;
         self.next_segment += 1;
-        // Even if this fails, nothing more is appended to the old segment: the header of the new one may be
-        // found later, and records of the old one with its sequence numbers would not count.
+        // Even if a step below fails, nothing more is appended to the old segment: the header of the new one
+        // may be found later, and later records of the old segment would not count then.
         self.current = None;
         let mut file = self.files.create(&segment_name(number))?;
         // From here on the file takes space, even if the next steps fail.
--- a/crates/store/src/quarantine.rs
+++ b/crates/store/src/quarantine.rs
@@ -12,9 +12,9 @@
 pub struct Quarantine {
     /// Files written by this call.
     pub files: Vec<String>,
-    /// Damaged ranges that were not copied, because they exceed the limit or writing failed.
+    /// Damaged ranges that were not copied, because they exceed the limit or the copy failed.
     pub skipped: usize,
-    /// Disk space of all quarantine files, including those of earlier starts.
+    /// Disk space of all quarantine files in bytes, including those of earlier starts.
     pub bytes: u64,
 }
 
--- a/crates/store/src/segment_index.rs
+++ b/crates/store/src/segment_index.rs
@@ -1,11 +1,12 @@
-//! Which keys are live, in which segment each one begins, and how much disk space the segments take.
+//! Records which keys are live, in which segment each one begins, and how much disk space the segments take.
+//! A key begins in the segment of its last put.
 use crate::frame::{Operation, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Each file is counted in whole blocks of this size (DEPLOY, Limits).
 pub const BLOCK_BYTES: u64 = 512;
 
-/// Disk space of a file, in whole blocks.
+/// Disk space of a file in bytes: its length, rounded up to whole blocks.
 pub fn allocated_bytes(length: u64) -> u64 {
     length.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
 }
@@ -14,7 +15,7 @@
 pub struct LiveKey {
     /// Segment of the record that put it.
     pub segment: u64,
-    /// Length of that record and of all later ones of the key.
+    /// Length of that record and of all later ones of the key, in bytes.
     pub bytes: u64,
     /// Sequence number of its last record.
     pub last_sequence: u64,
@@ -23,13 +24,13 @@
 /// What one segment contains.
 #[derive(Default)]
 pub struct SegmentEntry {
-    /// Length of the file.
+    /// Length of the file, in bytes.
     pub length: u64,
     /// Number of records, whether they still count or not.
     pub records: u64,
     /// Live keys that begin in the segment.
     pub live_keys: BTreeSet<u64>,
-    /// Length of all records of those keys, in whatever segment.
+    /// Length of the records of those keys since their last put, in any segment, in bytes.
     pub live_bytes: u64,
 }
 
@@ -91,7 +92,7 @@
         self.segments.get(&segment).map_or(0, |s| s.length)
     }
 
-    /// Disk space of all segments, in whole blocks.
+    /// Disk space of all segments in bytes, each counted in whole blocks.
     pub fn allocated_bytes(&self) -> u64 {
         self.segments.values().map(|s| allocated_bytes(s.length)).sum()
     }
@@ -101,7 +102,8 @@
         self.segments.iter().next().map(|(n, s)| (*n, s))
     }
 
-    /// The oldest segments, before `current`, in which no live key begins.
+    /// The oldest segments, up to the first that is `current` or in which a live key begins; that one is not
+    /// included.
     pub fn removable(&self, current: Option<u64>) -> Vec<u64> {
         let removable =
             self.segments.iter().take_while(|(n, s)| s.live_keys.is_empty() && Some(**n) != current);
--- a/crates/store/src/segment_scan.rs
+++ b/crates/store/src/segment_scan.rs
@@ -10,15 +10,17 @@
     pub records: Vec<Record<'a>>,
     /// Byte ranges that are no records, with records after them.
     pub damaged: Vec<Range<usize>>,
-    /// End of the last record, if bytes that are no record follow it.
+    /// Offset from which on the bytes are no records, up to the end; `None` if there are no such bytes.
     pub tail: Option<usize>,
 }
 
-/// Reads a segment whose records come after sequence number `last`, which is 0 if none is known.
+/// Reads the records of a segment. `last` is the last sequence number before the segment, 0 if none is known;
+/// it is used only if the header can't be read.
 ///
 /// After a damaged range, reading resumes at the next bytes that are a record by checksum and whose sequence
-/// number is possible there: it is higher than the one before, by at most the number of records that fit into
-/// the range. This makes it very unlikely that part of a payload is taken for a record.
+/// number is possible there: it is the next one, or higher by at most the number of records that fit into the
+/// range. It has no upper limit if neither the header nor a record before the range could be read. This makes
+/// it very unlikely that part of a payload is taken for a record.
 pub fn scan_segment(bytes: &[u8], last: u64) -> SegmentScan<'_> {
     let header = frame::decode_header(bytes);
     let mut scan = SegmentScan { header, records: Vec::new(), damaged: Vec::new(), tail: None };
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,9 +1,10 @@
 //! An in-memory folder that simulates loss of power and failing calls, for tests.
 //!
-//! Appended bytes are in the page cache until their file is synced, and changes of names until the folder is.
-//! After a loss of power, each unsynced change of a name holds or does not; changes that hold are applied in
-//! their order. Of unsynced data any length is left, and any of its pages may be zero. A sync that fails
-//! loses its pages but marks them clean, so that a later sync succeeds without keeping them.
+//! Appended bytes are only in the page cache until their file is synced; changes of names are only there
+//! until the folder is synced. Each unsynced change of a name survives a loss of power or is lost; those that
+//! survive are applied in their order. Of a file's unsynced data, a prefix of any length survives, and any of
+//! its pages may be zero. A sync that fails loses the unsynced pages but marks them clean, so that a later
+//! sync succeeds without keeping them.
 use crate::file_system::{AppendFile, FileSystem};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,7 +19,8 @@
     data: Vec<u8>,
     /// Number of bytes from the start that are synced.
     durable: usize,
-    /// Offset from which on data does not survive, because a sync has failed there. Later syncs don't help.
+    /// Offset from which on pages are zero after a loss of power, because a sync of them has failed. Later
+    /// syncs don't help.
     lost_from: Option<usize>,
 }
 
@@ -37,7 +39,7 @@
     names: BTreeMap<String, usize>,
     /// The names as of the last sync of the folder.
     durable_names: BTreeMap<String, usize>,
-    /// Changes of names since then.
+    /// Changes of names since the last sync of the folder.
     unsynced_changes: Vec<NameChange>,
     /// Number of calls so far.
     calls: usize,
@@ -135,7 +137,7 @@
 }
 
 impl SimDisk {
-    /// Number of calls so far, of all handles.
+    /// Number of calls so far, of all handles. Duplicating a handle is not counted.
     pub fn calls(&self) -> usize {
         self.state.borrow().calls
     }
@@ -173,7 +175,7 @@
     }
 
     /// A copy of the folder as it is in the page cache: what a process finds after the one before it has
-    /// crashed.
+    /// crashed. Faults of a kind of calls and ignored syncs go on in the copy.
     pub fn after_crash(&self) -> SimDisk {
         let state = self.state.borrow();
         let copy = FolderState { calls: 0, failing_call: None, power_lost_at: None, ..state.clone() };
@@ -215,7 +217,7 @@
 
 fn surviving_data(inode: &Inode, random: &mut fastrand::Rng) -> Vec<u8> {
     let durable = inode.durable.min(inode.data.len());
-    // Any length of the unsynced data survives, and often all of it or none.
+    // Of the unsynced data, none or all survives in a quarter of the cases each, else a prefix of any length.
     let length = match random.u8(..4) {
         0 => durable,
         1 => inode.data.len(),
