--- a/src/bin/sender/client/outcome.rs
+++ b/src/bin/sender/client/outcome.rs
@@ -24,7 +24,7 @@
     attempt_end(m.message.id, m.attempt, endpoint, outcome, started)
 }
 
-/// Returns the end of an attempt that started at the given time, without what only an answer can tell.
+/// Returns the end of an attempt that started at the given time, without retry-after and load report.
 pub fn attempt_end(
     id: u64,
     attempt: u32,
@@ -37,8 +37,8 @@
     AttemptEnd { id, attempt, endpoint, outcome, took, done, retry_after: 0, report: None }
 }
 
-/// Maps a status to an outcome and whether the message is done, by the table of the protocol. A call with any
-/// other status may have run.
+/// Maps a status to an outcome and whether the message is done, by the table of the protocol. After a status
+/// that is not in the table the message may have taken effect.
 pub fn outcome_of_status(status: u16, headers: &HeaderMap) -> (Outcome, bool) {
     match status {
         200 => (Outcome::Served, true),
@@ -69,8 +69,7 @@
     let outcome_of = |m: &CallMember| {
         let Some(states) = &states else {
             return match outcome_of_status(answer.status, &answer.headers) {
-                // Any one message of a batch may be the malformed one; the others are not given up because of
-                // it.
+                // The answer does not tell which message of a batch is malformed, so none is given up.
                 (Outcome::Malformed, done) if members.len() > 1 => (Outcome::NotSent, done),
                 other => other,
             };
@@ -80,7 +79,7 @@
             Some("busy") => (Outcome::TurnedAway, false),
             Some("void") => (Outcome::NotSent, true),
             Some("used_up") => (Outcome::NotSent, false),
-            // With `failed`, or where the answer leaves the message out, it may have run.
+            // With `failed`, any other state or none, the message may have taken effect.
             _ => (Outcome::ServerError, false),
         }
     };
@@ -91,7 +90,8 @@
     members.iter().map(to_end).collect()
 }
 
-/// Parses `Retry-After` in seconds, with or without decimals; None if it is not between 0 and a day.
+/// Parses `Retry-After` in seconds, with or without decimals; None if it is missing, malformed or not between
+/// 0 and a day.
 pub fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
     (seconds > 0.0 && seconds < 86_400.0).then(|| Duration::from_secs_f64(seconds))
--- a/src/bin/sender/control.rs
+++ b/src/bin/sender/control.rs
@@ -1,8 +1,8 @@
 //! The control address: health checks, and operators' calls that take endpoints out and put them back.
 //!
 //! It serves one request per connection, and few connections at a time. When all are in use, a new connection
-//! replaces the oldest one that has not sent its whole request, so that idle callers can't lock others out.
-//! The core decides on every reply.
+//! replaces the oldest one that has not sent its whole request, or else the oldest one, so that idle callers
+//! can't lock others out. The core decides on every reply.
 use crate::input::{Input, MaintenanceReply};
 use crate::server::{method_not_allowed, text_response};
 use bytes::Bytes;
@@ -22,12 +22,12 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// Most open connections, and so the most descriptors that this address uses.
+/// Maximum number of open connections, each of which uses one descriptor.
 pub const MAX_CONNECTIONS: usize = 8;
-/// How long a connection may take, from its start to the end of the reply. Callers wait no longer than a
-/// second.
+/// How long a connection may take, from its start to the end of the reply, and the longest wait for the
+/// core's reply. Callers wait no longer than a second.
 const TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes of a request's body at most. No request needs one.
+/// Maximum size of a request's body. No request needs a body.
 const MAX_BODY_BYTES: usize = 1 << 10;
 
 /// An open connection.
--- a/src/bin/sender/directory.rs
+++ b/src/bin/sender/directory.rs
@@ -1,4 +1,4 @@
-//! The catalogue in force, as the decision module, calls and operators see it.
+//! The catalogue in force, as the policy, calls and operators see it.
 use catalogue::{Catalogue, Lifecycle};
 use sender::api::{DestId, EndpointId, EndpointKind, Entry};
 use sender::listed::{CatalogueDirectory, SettingsNames};
@@ -7,8 +7,8 @@
 use std::cell::{Cell, Ref, RefCell};
 use std::net::SocketAddr;
 
-/// What shares one rate limit and one `Retry-After`: a destination, or one of its endpoints where routes are
-/// separate.
+/// What shares one rate limit and one `Retry-After`: a destination, or one of its endpoints if their machine
+/// type has separate routes.
 pub type Route = (DestId, Option<EndpointId>);
 
 /// The address and the route of an endpoint.
@@ -43,7 +43,7 @@
         self.catalogue.borrow()
     }
 
-    /// Returns whether there is a list: one from discovery, even an empty one, or any other that is not
+    /// Returns whether there is a list: one with a generation, even an empty one, or any other that is not
     /// empty.
     pub fn has_list(&self) -> bool {
         self.has_list.get()
--- a/src/bin/sender/first_catalogue.rs
+++ b/src/bin/sender/first_catalogue.rs
@@ -1,5 +1,5 @@
-//! The catalogue that a process starts with: the list of its configuration, under the endpoint numbers of the
-//! decision module that it continues.
+//! The catalogue that a process starts with: the known list of its configuration, the catalogue that was
+//! handed over, or both. Endpoints keep the numbers that they have in the policy's state.
 use crate::process_state::NumberedCatalogue;
 use catalogue::{Catalogue, Endpoint};
 use sender::api::EndpointId;
@@ -8,13 +8,13 @@
 pub struct FirstCatalogue {
     /// The catalogue for the core.
     pub in_force: Catalogue,
-    /// The catalogue for the watch on discovery. It may name more endpoints than `in_force`: a list that is
-    /// older than that of the previous process is not in force until the first answer has brought it up to
-    /// date.
+    /// The catalogue for the watch on discovery. It may have more endpoints than `in_force`: those that
+    /// only the known list names are not in force before the first answer of discovery, unless that list has
+    /// the generation that was handed over.
     pub watched: Catalogue,
     /// The generation since which the watch asks for changes; None if it asks for the whole list.
     pub generation: Option<u64>,
-    /// Whether the module has not seen this catalogue yet.
+    /// Whether the policy has not been told of this catalogue yet.
     pub new_to_module: bool,
 }
 
@@ -31,7 +31,7 @@
     }
 
     /// Creates the catalogue of a process that continues with the numbers of one that has ended. The list
-    /// which that process had is out of date and not used.
+    /// of the ended process is out of date and not used.
     pub fn after_restart(
         numbers: &[(EndpointId, String)],
         next_id: EndpointId,
@@ -67,7 +67,8 @@
     }
 }
 
-/// Gives the endpoints of a list the given numbers by name, and numbers from `next_id` on to all others.
+/// Renumbers the endpoints of a list: those named in `numbers` get the number given there, all others get
+/// numbers from `next_id` on.
 fn renumbered<'a>(
     numbers: impl Iterator<Item = (EndpointId, &'a str)>,
     next_id: EndpointId,
--- a/src/bin/sender/input.rs
+++ b/src/bin/sender/input.rs
@@ -22,9 +22,9 @@
 /// The reply to an operator who takes an endpoint out or puts it back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MaintenanceReply {
-    /// The change is in force, for the processes that follow as well.
+    /// The change is stored and in force, also for later processes.
     Done,
-    /// No list has named that endpoint.
+    /// The endpoint is not listed, and no change of it is stored.
     #[serde(rename = "Unknown")]
     UnknownEndpoint,
     /// The change could not be stored, and is not in force.
--- a/src/bin/sender/list_intake.rs
+++ b/src/bin/sender/list_intake.rs
@@ -22,13 +22,13 @@
 /// Catalogues with more endpoints than this are dropped on a thread of their own.
 const LARGE_CATALOGUE: usize = 10_000;
 
-/// Why a body brought no list.
+/// Why no list could be read from a body.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
     /// The body, or its next part, did not arrive in time.
     #[error("the answer did not arrive in time")]
     TimedOut,
-    /// The body broke off, or the thread that reads it failed.
+    /// The body broke off, or the thread that reads it could not be started or failed.
     #[error("cannot read the list: {0}")]
     Failed(String),
     /// The list is malformed or exceeds its limits.
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Reads a body without changing the catalogue in force. By `deadline` the body must be complete or known
-    /// to be long; a long one must keep coming from then on.
+    /// Reads a body without changing the catalogue. The body must be complete by `deadline`, or be known by
+    /// then to be longer than `MAX_SHORT_BODY`; the time limits of a long body apply from then on.
     pub async fn read<B>(&self, mut body: B, deadline: Instant) -> Result<LoadedList, BodyError>
     where
         B: Body<Data = Bytes, Error: Display> + Unpin,
@@ -155,8 +155,8 @@
     }
 }
 
-/// Drops a catalogue; if it is a large one and this was its last holder, on a thread, to keep the event loop
-/// free.
+/// Drops a catalogue. If the catalogue is large and has no other holder, drops it on a separate thread and
+/// returns the freed memory to the system, so as not to block the event loop.
 pub fn release(catalogue: Catalogue) {
     // All other holders are on the event loop, except for the thread that reads a list, which has ended by
     // now.
--- a/src/bin/sender/main.rs
+++ b/src/bin/sender/main.rs
@@ -35,19 +35,20 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// Graceful shutdown, in times since SIGTERM: until then new connections are accepted.
+/// Graceful shutdown: this and the next four are times since SIGTERM or SIGINT. Until this time new
+/// connections are accepted.
 const ACCEPT_UNTIL: Duration = Duration::from_millis(500);
-/// Until then the process waits for clients' connections to close.
+/// Time until which the process waits for clients' connections to close.
 const CLIENTS_UNTIL: Duration = Duration::from_millis(1_200);
-/// Until then new calls are made.
+/// Time until which new calls are made.
 const BEGIN_UNTIL: Duration = Duration::from_millis(2_600);
-/// Until then calls in flight may end. Messages that are left then are in the journal.
+/// Time until which calls in flight may end. Messages that are held after it remain in the journal.
 const END_BY: Duration = Duration::from_millis(3_300);
-/// Until then requests that were read may still be answered. SIGKILL comes 3.7 s after SIGTERM.
+/// Time until which requests that were read may still be answered. SIGKILL comes 3.7 s after SIGTERM.
 const ANSWERS_UNTIL: Duration = Duration::from_millis(3_500);
 /// Descriptors that are used neither for clients nor for calls.
 const OWN_DESCRIPTORS: usize = 24;
-/// Capacity of the core's inbox for the control address, which has no more connections.
+/// Capacity of the core's inbox for the control address: an input for each connection.
 const CONTROL_INBOX: usize = control::MAX_CONNECTIONS;
 /// Capacity of the core's inbox. Clients are answered 503 while it is full.
 const INBOX: usize = 2_048;
@@ -248,7 +249,7 @@
             server.clone(),
         );
     }
-    // Without this socket the sender still serves messages, and a new process waits for its end.
+    // Without this socket the sender still serves messages, but a new process has to wait until it ends.
     let handover_socket = handover::listen(&folder)
         .inspect_err(|error| tracing::error!(%error, "cannot listen for handover requests"))
         .ok();
@@ -303,7 +304,7 @@
     let _ = timeout(CLIENTS_UNTIL - ACCEPT_UNTIL, clients_gone).await;
     let _ = core_in.send(input::Input::ShutDown(terminated_at + BEGIN_UNTIL)).await;
     let _ = timeout_at(terminated_at + END_BY, core_in.closed()).await;
-    // Requests that the core has not taken are refused, and that reply still has to be written.
+    // Requests that the core has not taken are refused, and the refusals still have to be written.
     let answered = async {
         while server.has_unanswered_requests() {
             sleep(Duration::from_millis(5)).await;
--- a/src/bin/sender/maintenance.rs
+++ b/src/bin/sender/maintenance.rs
@@ -1,5 +1,5 @@
-//! The endpoints that operators have taken out, stored in `$EDGE_STATE` before an operator's call is
-//! answered.
+//! The endpoints that operators have taken out or put back, stored in `$EDGE_STATE` before an operator's call
+//! is answered.
 use sender::records::unix_time_ms;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +21,8 @@
 pub struct Maintenance {
     path: PathBuf,
     names: Names,
-    /// How long an endpoint that was put back is remembered: the length of its slow start.
+    /// Length of the slow start of an endpoint that was put back. Once it is over, the next stored
+    /// change drops the endpoint from `back`.
     slow_start_ms: i64,
 }
 
@@ -44,7 +45,7 @@
         self.names.out.contains(name)
     }
 
-    /// Returns whether an endpoint is out, or was put back and is still remembered.
+    /// Returns whether an endpoint is out, or was put back and is still in `back`.
     pub fn knows(&self, name: &str) -> bool {
         self.is_out(name) || self.names.back.contains_key(name)
     }
@@ -56,7 +57,8 @@
         self.names.out.iter().map(|name| (name, None)).chain(back)
     }
 
-    /// Stores a change, which has no effect if that fails. Returns false if there was nothing to change.
+    /// Stores and then applies a change; one that can't be stored has no effect. Returns false
+    /// if there was nothing to change.
     pub fn set(&mut self, name: &str, out: bool) -> io::Result<bool> {
         if out == self.is_out(name) {
             return Ok(false);
--- a/src/bin/sender/notices.rs
+++ b/src/bin/sender/notices.rs
@@ -1,4 +1,4 @@
-//! Sends notices to the platform: reports of how accepted messages ended that were not delivered.
+//! Sends notices to the platform: each reports the outcome of an accepted message that was not delivered.
 use crate::client::MAX_BODY;
 use crate::connection::{self, Connection};
 use crate::input::Input;
@@ -9,22 +9,23 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 
-/// How one message ended.
+/// The outcome of one message that was not delivered.
 pub struct Notice {
     pub id: u64,
     pub trace_id: String,
     pub undelivered: Undelivered,
 }
 
-/// Maximum number of notices in one post. With the longest ids that are accepted its body stays under 64 KiB.
+/// Maximum number of notices in one post. Even with the longest ids its body stays under 64 KiB.
 const MAX_BATCH: usize = 100;
 /// How long the first attempt of a post may take. The platform answers at once, and a notice counts only up
 /// to 300 ms after its message's deadline, so a post on a connection that is silent or was just closed is
-/// soon repeated on another one. Each further attempt may take twice as long, as more posts would not help a
-/// platform that is slow.
+/// soon repeated on another one. The time limit doubles with each further attempt, as more posts would not
+/// help a platform that is slow.
 const FIRST_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long any attempt of a post may take.
 const MAX_TIMEOUT: Duration = Duration::from_secs(1);
-/// The pause before each further attempt. The second attempt follows the first without one.
+/// The pause before the third and each later attempt. The second attempt follows the first at once.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Formats a notice as one line of JSON.
@@ -58,9 +59,9 @@
     }
 }
 
-/// Posts the notices of the core and tells the core once they are acknowledged. A post is repeated until
-/// then, as every message must be reported; a notice that arrives twice does no harm. Each attempt goes to
-/// the current address of discovery.
+/// Posts the notices of the core and tells the core once they are acknowledged. A post is repeated until it
+/// is acknowledged, as every notice must arrive; a notice that arrives twice does no harm. Each attempt goes
+/// to the current address of discovery.
 pub async fn run(
     mut addresses: watch::Receiver<SocketAddr>,
     mut notices: mpsc::UnboundedReceiver<Notice>,
--- a/src/bin/sender/process_state_v1.rs
+++ b/src/bin/sender/process_state_v1.rs
@@ -1,4 +1,4 @@
-//! Version 1 of the handed-over state: it names every endpoint that lists ever named, by number.
+//! Version 1 of the handed-over state: it names all endpoints that lists have ever named, by number.
 use crate::process_state::{HandoverState, HeldMessages, IdleBounds, NumberedCatalogue, NumberedEndpoint};
 use sender::api::{DestId, EndpointId, Ns};
 use sender::policy::Sender;
@@ -36,7 +36,7 @@
 struct EndpointV1 {
     address: SocketAddr,
     route: (DestId, Option<EndpointId>),
-    /// Whether the list had it as ready.
+    /// Whether the list named the endpoint as ready.
     #[serde(rename = "listed")]
     ready: bool,
 }
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -15,9 +15,9 @@
     entry: Entry,
 }
 
-/// A message that has not been forgotten yet.
+/// A message that has not ended or has attempts in flight.
 struct HeldMessage {
-    /// The simulator's name for it.
+    /// The simulator's name for the message.
     name: String,
     attempts_in_flight: u32,
     ended: bool,
@@ -28,7 +28,7 @@
     sender: Sender,
     listed: ListedEndpoints,
     on_demand: OnDemandList,
-    around: ProgramSettings,
+    program_settings: ProgramSettings,
     events: Vec<Event>,
     endpoints: HashMap<String, EndpointId>,
     endpoint_names: Vec<String>,
@@ -44,19 +44,20 @@
 pub struct Host {
     /// The time of the batch that is being read.
     now: Option<Ns>,
-    /// The sender that the next lines are for.
+    /// Number of the sender to which the next lines apply.
     current: Option<u64>,
     instances: BTreeMap<u64, Instance>,
-    /// Lists by their slot.
+    /// Lists of endpoints, by the `Slot` of their TABLE lines.
     tables: HashMap<u64, Rc<Vec<WireEntry>>>,
-    /// A table whose entries are still being read: its slot, how many are missing, and those read.
+    /// A table whose entries are still being read: its slot, the number of missing entries, and the entries
+    /// that were read.
     unfinished_table: Option<(u64, u64, Vec<WireEntry>)>,
     actions: Vec<Action>,
 }
 
 /// The fields of one line.
 struct Fields<'a> {
-    /// The kind of message, which is the line's first word.
+    /// The kind of line: its first word.
     verb: &'a str,
     /// The rest of the line: `name=value` parts, separated by tabs.
     text: &'a str,
@@ -101,7 +102,7 @@
 }
 
 impl Host {
-    /// Handles one line. Returns true if it ended a batch, with the answer in `reply`.
+    /// Handles one line. Returns true if the line ended a batch; the answer has then been added to `reply`.
     pub fn handle_line(&mut self, line: &str, reply: &mut String) -> Result<bool, String> {
         if line.is_empty() {
             return Ok(false);
@@ -150,10 +151,10 @@
                     text.find("Conf=").map(|at| &text[at + 5..]).ok_or("LAUNCH field Conf is missing")?;
                 let conf =
                     serde_json::from_str(conf).map_err(|e| format!("LAUNCH field Conf: not JSON: {e}"))?;
-                let (settings, around) =
+                let (settings, program_settings) =
                     settings::read(&conf).map_err(|e| format!("LAUNCH field Conf: {e}"))?;
                 let sender = Sender::new(settings, seed);
-                self.instances.insert(number, Instance::new(sender, around));
+                self.instances.insert(number, Instance::new(sender, program_settings));
             }
             "CRASH_NOW" => {
                 let number = self.current.ok_or("CRASH_NOW without an INSTANCE line")?;
@@ -173,7 +174,7 @@
         Ok(false)
     }
 
-    /// Runs the policy of each sender that needs it, and writes the actions.
+    /// Runs the policy of each sender that was launched or got a line in this batch, and writes the actions.
     fn answer(&mut self, now: Ns, reply: &mut String) {
         for (number, instance) in &mut self.instances {
             if !std::mem::take(&mut instance.needs_run) {
@@ -195,12 +196,12 @@
 }
 
 impl Instance {
-    fn new(sender: Sender, around: ProgramSettings) -> Instance {
+    fn new(sender: Sender, program_settings: ProgramSettings) -> Instance {
         Instance {
             sender,
             listed: ListedEndpoints::default(),
             on_demand: OnDemandList::default(),
-            around,
+            program_settings,
             events: Vec::new(),
             endpoints: HashMap::new(),
             endpoint_names: Vec::new(),
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Takes a line with an event for this sender.
+    /// Reads a line for this sender and queues the events for its policy.
     fn take_event(&mut self, f: &Fields, tables: &HashMap<u64, Rc<Vec<WireEntry>>>) -> Result<(), String> {
         match f.verb {
             "ANNOUNCE" => {
@@ -287,7 +288,7 @@
         Ok(())
     }
 
-    /// Takes a list of endpoints.
+    /// Applies a list of endpoints and queues the events that tell the policy of it.
     fn announce(&mut self, whole: bool, table: &[WireEntry]) {
         if whole {
             self.listed.clear();
@@ -330,7 +331,7 @@
             row.push(value.map_err(|_| format!("{} field Metrics is malformed: {}", f.verb, shorten(text)))?);
         }
         let at = |column: Option<usize>| column.and_then(|c| row.get(c)).copied();
-        Ok(match (at(self.around.remaining_column), at(self.around.limit_column)) {
+        Ok(match (at(self.program_settings.remaining_column), at(self.program_settings.limit_column)) {
             (None, None) => None,
             (left, limit) => {
                 Some(LimitReport { remaining: left.unwrap_or(0.0), limit: limit.unwrap_or(0.0) })
@@ -346,7 +347,7 @@
         self.forget(id);
     }
 
-    /// Drops the name of a message that has ended and has no attempt in flight.
+    /// Drops a message, with its name, if it has ended and has no attempt in flight.
     fn forget(&mut self, id: MsgId) {
         if self.held.get(&id).is_some_and(|h| h.ended && h.attempts_in_flight == 0) {
             if let Some(held) = self.held.remove(&id) {
@@ -359,7 +360,7 @@
     fn write(&mut self, action: Action, reply: &mut String) {
         let name = |id: MsgId| self.held.get(&id).map(|h| h.name.as_str());
         let endpoint_name = |id: EndpointId| self.endpoint_names[id as usize].as_str();
-        // Writing to a String cannot fail. A message without a name has ended and needs no line.
+        // Writing to a String cannot fail. A message that is no longer held needs no line.
         let _ = match action {
             Action::Send { id, endpoint, limit, .. } => {
                 let Some(n) = name(id) else { return };
--- a/src/bin/simulator-adapter/listed.rs
+++ b/src/bin/simulator-adapter/listed.rs
@@ -1,9 +1,9 @@
-//! The endpoints that one sender's lists have named so far.
+//! The endpoints that are listed for one sender.
 use sender::api::{Condition, DestId, EndpointId, Entry};
 use sender::on_demand::Directory;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// ListedEndpoints endpoints, by number and by destination.
+/// The listed endpoints, by number and by destination.
 #[derive(Default)]
 pub struct ListedEndpoints {
     entries: BTreeMap<EndpointId, Entry>,
@@ -16,7 +16,7 @@
         *self = ListedEndpoints::default();
     }
 
-    /// Applies one entry of a list. An endpoint that is gone is removed.
+    /// Applies one entry of a list. Removes the endpoint if its condition is `Gone`.
     pub fn set(&mut self, entry: Entry) {
         self.remove(entry.endpoint);
         if entry.condition != Condition::Gone {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -76,11 +76,12 @@
     }
 }
 
-/// What a program needs of the settings besides those of the policy.
+/// The settings that a program needs besides those of the policy.
 #[derive(Clone, Debug)]
 pub struct ProgramSettings {
-    /// Positions of x0 (unused share of the allowance) and x1 (rate limit) in a load report.
+    /// Position of x0, the unused share of the allowance, in a load report.
     pub remaining_column: Option<usize>,
+    /// Position of x1, the rate limit, in a load report.
     pub limit_column: Option<usize>,
     /// Names, in the order of their numbers in [`Settings`].
     pub classes: Vec<String>,
@@ -192,7 +193,7 @@
         price_waste: prices.get("Waste").number_or(0.0, 0.0)?,
         route_fee: fees.iter().map(|fee| fee.number(0.0)).collect::<Result<Vec<_>, String>>()?,
     };
-    let around = ProgramSettings {
+    let program_settings = ProgramSettings {
         remaining_column: column("x0"),
         limit_column: column("x1"),
         classes: names(root.get("Services").list()?, Some("Name")),
@@ -200,5 +201,5 @@
         kinds: names(root.get("Kinds").list()?, None),
         zones: names(root.get("Localities").list()?, None),
     };
-    Ok((settings, around))
+    Ok((settings, program_settings))
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A test harness for the policy: settings, one sender, and the actions of the last call.
+//! A test harness for the policy: settings, one sender, and the actions of its last round.
 #![allow(dead_code)]
 use sender::api::*;
 use sender::policy::Sender;
--- a/tests/peers/mod.rs
+++ b/tests/peers/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long a test waits for anything at most: far longer than anything here takes.
+/// Maximum time for which a test waits for one condition or response, far longer than any takes.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// An HTTP request or response as it was read.
@@ -21,7 +21,7 @@
     pub body: Vec<u8>,
     /// The number of its connection, counted by the peer.
     pub connection: usize,
-    /// When it had been read whole.
+    /// When the request or response had been read completely.
     pub at: Instant,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Reads a request or response; None if the connection ends before its end.
+/// Reads a request or response; None if the connection ends before it is complete.
 pub fn read_message(reader: &mut BufReader<TcpStream>, connection: usize) -> Option<Request> {
     let mut line = String::new();
     if reader.read_line(&mut line).ok()? == 0 {
@@ -84,7 +84,7 @@
 struct Shared {
     script: Mutex<Script>,
     seen: Mutex<Vec<Request>>,
-    /// Notified when a request has been seen.
+    /// Notified when a request has been added to `seen`.
     seen_changed: Condvar,
     connections: AtomicUsize,
     /// Numbers of the connections that the sender has closed.
@@ -139,7 +139,7 @@
         *current = Box::new(move |r| script(r).unwrap_or_else(|| old(r)));
     }
 
-    /// Returns the requests that were answered so far.
+    /// Returns the requests handled so far, including those that were left unanswered.
     pub fn seen(&self) -> Vec<Request> {
         self.shared.seen.lock().unwrap().clone()
     }
@@ -153,7 +153,7 @@
         self.shared.closed.lock().unwrap().contains(&connection)
     }
 
-    /// Waits until the requests seen satisfy `enough`. `what` names that in the failure message.
+    /// Waits until the requests seen satisfy `enough`. `what` describes this in the failure message.
     pub fn wait(&self, what: &str, enough: impl Fn(&[Request]) -> bool) -> Vec<Request> {
         let until = Instant::now() + TIMEOUT;
         let mut seen = self.shared.seen.lock().unwrap();
@@ -195,7 +195,7 @@
 /// The generation of the list, its entries, and whether discovery is silent.
 type ListState = (u64, Value, bool);
 
-/// A stub discovery: it serves a list that tests can change to watches that wait for changes, and takes
+/// A stub discovery: serves a list that tests can change, lets watches wait for changes, and accepts
 /// notices.
 #[derive(Clone)]
 pub struct Discovery {
@@ -425,7 +425,7 @@
         self.folder.join("state")
     }
 
-    /// Returns the bytes of the files in the state folder, in whole blocks of 512.
+    /// Returns the size of the files in the state folder in bytes, each in whole blocks of 512 bytes.
     pub fn disk_usage(&self) -> u64 {
         fn of(folder: &Path) -> u64 {
             // A file may be removed in the meantime.
@@ -475,7 +475,7 @@
         self.wait_until_ready();
     }
 
-    /// Returns the status of a health check; None while nobody listens.
+    /// Returns the status of a health check; None without a response.
     pub fn health(&self) -> Option<u16> {
         request_status(self.address, "GET /healthz")
     }
@@ -561,7 +561,7 @@
         (answer.start_line.split(' ').nth(1).unwrap().parse().unwrap(), answer.headers)
     }
 
-    /// Uses the control address of the process that ran before an upgrade again.
+    /// Switches back to the control address of the process that ran before an upgrade.
     pub fn switch_back_to(&mut self, old: &OldProcess) {
         self.control = old.control;
     }
@@ -675,8 +675,8 @@
     (discovery, node)
 }
 
-/// Hands in a message and waits until it is delivered. By then the sender has done what earlier inputs led
-/// to.
+/// Hands in a message and waits until it is delivered. By then the sender has handled all earlier
+/// inputs.
 pub fn wait_until_settled(node: &Node, endpoint: &Peer) {
     assert_eq!(node.hand_in("alert", "settle", 7, 16_000, b"."), 202);
     endpoint.wait_for("settle", 1);
