--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -114,7 +114,8 @@
         let _ = self.changes.send((at, endpoint, lifecycle));
     }
 
-    /// Begins or ends a fault. Only one mode is active at a time.
+    /// Begins or ends a fault. Only one mode is active at a time: a fault that begins replaces the mode of an
+    /// earlier one, and the end of any fault restores `Mode::Answers`.
     pub fn set_fault(&self, kind: EventKind, size: f64, begins: bool) {
         if kind == EventKind::DiscoveryResets {
             let mut list = self.shared.list.lock().expect("no holder panics");
@@ -241,7 +242,7 @@
     }
 
     /// Returns the answer to a request for the list or a watch, or `None` if the sender closes the connection
-    /// before.
+    /// before the answer.
     async fn answer_list(&self, sender: u32, connection: &mut Connection, query: &str) -> Option<Vec<u8>> {
         let parameter = |key: &str| {
             let pair = query.split('&').find_map(|p| p.split_once('=').filter(|(k, _)| *k == key));
@@ -286,8 +287,8 @@
         self.limit.lock().expect("no holder panics").take(self.context.clock.now()).is_err()
     }
 
-    /// Records the changes that an answer tells its sender. A whole list tells by omission which endpoints
-    /// are gone.
+    /// Records the changes that an answer sends to its sender. Of a whole list these are the entries that are
+    /// not ready, and the endpoints that are gone, which the list omits.
     fn record_update(&self, sender: u32, update: &ListUpdate) {
         for entry in &update.entries {
             let (endpoint, lifecycle) = (entry.endpoint, entry.lifecycle);
--- a/crates/testbed/src/endpoints.rs
+++ b/crates/testbed/src/endpoints.rs
@@ -35,7 +35,8 @@
     Up,
     /// New connections are refused, and open ones are reset.
     Down,
-    /// Nothing is read or answered; connections are reset at the end of this phase.
+    /// New connections are not accepted, and calls passed to the destination get no answer. Connections are
+    /// reset at the end of this phase.
     Silent,
 }
 
@@ -320,7 +321,7 @@
 
     /// Reads and answers calls until the connection ends. Returns true if it has to be reset.
     async fn serve_calls(&self, connection: &mut Connection, over_connection_limit: bool) -> bool {
-        let mut fresh = true;
+        let mut new_connection = true;
         loop {
             let request = match connection.read_request().await {
                 Ok(request) => request,
@@ -333,8 +334,13 @@
             let closes = request.closes();
             let reset = match &request.start {
                 Start::Request { method, path } if method == "POST" && path == "/v1/messages" => {
-                    self.handle_call(connection, &request, over_connection_limit, std::mem::take(&mut fresh))
-                        .await
+                    self.handle_call(
+                        connection,
+                        &request,
+                        over_connection_limit,
+                        std::mem::take(&mut new_connection),
+                    )
+                    .await
                 }
                 Start::Request { method, path }
                     if method == "GET" && (path == "/healthz" || path == "/load") =>
@@ -366,7 +372,7 @@
         connection: &mut Connection,
         request: &Message,
         over_connection_limit: bool,
-        fresh: bool,
+        new_connection: bool,
     ) -> Option<bool> {
         let context = &self.context;
         let Some(id) = request.header("x-trace-id").and_then(messages::parse_id) else {
@@ -383,7 +389,7 @@
             first: request.first,
             intact: known.is_some_and(|k| k.intact),
         });
-        if fresh && !over_connection_limit {
+        if new_connection && !over_connection_limit {
             sleep(self.handshake).await;
         }
         let (in_flight, in_use) = InUse::increment(&self.calls_in_flight);
@@ -498,7 +504,7 @@
     }
 }
 
-/// Counts one in a counter until it is dropped, also with its task.
+/// Increments a counter, and decrements it when dropped, which the end of the task does too.
 struct InUse<'a>(&'a AtomicUsize);
 
 impl InUse<'_> {
--- a/crates/testbed/src/facts.rs
+++ b/crates/testbed/src/facts.rs
@@ -41,11 +41,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// A status line with 200 was written.
+    /// An answer with status 200, also if the rest of it is malformed.
     Delivered,
     Error,
     Refused {
         why: Refusal,
+        /// Time given by `Retry-After`.
         wait: Option<Ns>,
     },
     /// The endpoint reset the connection, or could not write the answer.
@@ -107,7 +108,7 @@
     /// times.
     #[serde(rename = "asked")]
     Requested { request: u32, sender: u32, dest: u32, class: usize, planned: Ns },
-    /// A client begins to write a message to a sender; it may be delivered until `due`.
+    /// A client begins to write a message to a sender. `due` is the message's deadline.
     HandedIn { message: MessageId, request: u32, sender: u32, due: Ns },
     /// A hand-in has ended for its client.
     #[serde(rename = "heard")]
@@ -148,7 +149,7 @@
     /// An endpoint's lifecycle changed; discovery tells senders of it later.
     #[serde(rename = "changed")]
     EndpointChanged { endpoint: u32, lifecycle: Lifecycle },
-    /// Discovery has sent a change to a sender.
+    /// Discovery sends a change to a sender.
     #[serde(rename = "told")]
     ChangeSent { sender: u32, endpoint: u32, lifecycle: Lifecycle },
     /// The state of a sender's process changed.
--- a/crates/testbed/src/judge/fact_index.rs
+++ b/crates/testbed/src/judge/fact_index.rs
@@ -7,13 +7,14 @@
 use crate::spec::{EventKind, Link};
 use std::collections::{BTreeMap, HashMap};
 
-/// How long after the end of a link's fault data that was delayed on it may still arrive.
+/// Data that a fault of a link has delayed may arrive until this long after the end of the fault.
 const LINK_BACKLOG: Ns = 1_500 * MS;
 /// After a restart no notice is overdue until this time after readiness (PROTOCOL, The rules on sockets).
 const RESTART_GRACE: Ns = 1_500 * MS;
-/// A change of the list counts as known to a sender after this time, whether discovery has sent it or not.
+/// A change of the list counts as known to a sender after this time, even if discovery has not sent it, but
+/// not before `KNOWN_AFTER_READY`.
 const KNOWN_AFTER_CHANGE: Ns = 6 * SECOND;
-/// But it does not count as known earlier than this time after the sender's process became ready.
+/// Time from the readiness of a sender's process until changes that discovery has not sent count as known.
 const KNOWN_AFTER_READY: Ns = 2 * SECOND;
 
 /// A message as handed in once, under one id.
@@ -50,7 +51,7 @@
     pub last: Ns,
     /// Its body is that of the client.
     pub intact: bool,
-    /// When it took effect.
+    /// Times at which it took effect.
     pub effects: Vec<Ns>,
     pub reply: Option<(Ns, Reply)>,
 }
@@ -92,9 +93,11 @@
     pub connections: usize,
     /// By sender: the events of its processes, in order.
     pub processes: Vec<Vec<(Ns, ProcessEvent)>>,
-    /// By link and sender: beginnings and ends of faults.
+    /// By link and sender: beginnings and ends of faults. `Break` has no end, and so lasts until an end of
+    /// another fault of the link is recorded, or to the end of the play.
     link_faults: HashMap<(Link, u32), Vec<(Ns, Ns)>>,
-    /// By destination: beginnings and ends of the faults after which its endpoints are cold.
+    /// By destination: beginnings and ends of the faults that can leave its endpoints cold (`Failing` does so
+    /// only with a size above 0.5).
     pub outages: HashMap<u32, Vec<(Ns, Ns)>>,
     /// Time and endpoint of each failure of a cold endpoint under too many calls.
     pub overload_failures: Vec<(Ns, u32)>,
@@ -139,8 +142,8 @@
                 self.requests.insert(request, new);
             }
             FactKind::HandedIn { message: id, request, sender, due } => {
-                if let Some(asked) = self.requests.get_mut(&request) {
-                    asked.messages.push(id);
+                if let Some(known) = self.requests.get_mut(&request) {
+                    known.messages.push(id);
                 }
                 let (result, notices, calls) = (None, Vec::new(), Vec::new());
                 // A client that sends the message again on a new connection hands it in only once.
@@ -198,8 +201,8 @@
                 self.sent_changes.entry((sender, endpoint)).or_default().push((at, lifecycle));
             }
             FactKind::Process { sender, event } => {
-                if let Some(lives) = self.processes.get_mut(sender as usize) {
-                    lives.push((at, event));
+                if let Some(events) = self.processes.get_mut(sender as usize) {
+                    events.push((at, event));
                 }
             }
             FactKind::DestinationFault { dest, kind, begins } => {
@@ -246,8 +249,8 @@
     }
 
     /// Returns true if notices of a sender may be late at a time: from the signal of a restart until
-    /// `RESTART_GRACE` after readiness, and the same while it is paused or its link to discovery is
-    /// disturbed.
+    /// `RESTART_GRACE` after readiness, from a pause until `RESTART_GRACE` after its end, and while the
+    /// sender's link to discovery is disturbed (see `link_disturbed`).
     pub fn notices_excused(&self, sender: u32, at: Ns) -> bool {
         if self.link_disturbed(Link::Discovery, sender, at, at) {
             return true;
@@ -293,7 +296,8 @@
         self.processes[sender as usize].iter().any(|(at, event)| restarts(event) && (from..=to).contains(at))
     }
 
-    /// Returns since when a sender has known, at a time, that an endpoint is draining or gone.
+    /// Returns when a sender learned that an endpoint is draining or gone, judged by the changes known to it
+    /// at `at`. Returns `None` if it does not know.
     pub fn known_draining_since(&self, sender: u32, endpoint: u32, at: Ns) -> Option<Ns> {
         let ready = self.processes[sender as usize]
             .iter()
--- a/crates/testbed/src/judge/mod.rs
+++ b/crates/testbed/src/judge/mod.rs
@@ -75,7 +75,7 @@
 pub struct Violation {
     pub rule: Rule,
     pub at: Ns,
-    /// Says which message, call or sender it was.
+    /// Says what happened, and to which message, call or sender.
     #[serde(rename = "what")]
     pub description: String,
 }
@@ -85,7 +85,7 @@
     violations_of(&FactIndex::new(terms, facts))
 }
 
-/// Does the same for facts that are indexed already.
+/// Returns all violations in indexed facts, in the order of rules and times.
 pub fn violations_of(index: &FactIndex) -> Vec<Violation> {
     let mut all: Vec<Violation> = Rule::ALL.iter().flat_map(|rule| rules::violations(index, *rule)).collect();
     all.sort_by_key(|b| (b.rule, b.at));
--- a/crates/testbed/src/judge/rules.rs
+++ b/crates/testbed/src/judge/rules.rs
@@ -6,13 +6,13 @@
 use crate::spec::Link;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Added to each time limit on sockets (PROTOCOL, The rules on sockets).
+/// Tolerance of each time limit on sockets (PROTOCOL, The rules on sockets).
 const SLACK: Ns = 50 * MS;
 /// How long after its deadline a message may end.
 const END_GRACE: Ns = 300 * MS;
-/// How long after a sender learned that an endpoint drains it may still start calls to it.
+/// A sender may start calls to an endpoint until this long after it learned that the endpoint drains.
 const DRAIN_GRACE: Ns = 500 * MS;
-/// How long after a refusal with `Retry-After` calls may arrive that were under way already.
+/// Calls that were already under way may arrive until this long after a refusal with `Retry-After`.
 const CROSSING_GRACE: Ns = 100 * MS;
 /// One connection closed without an answer is forgiven for each of this many messages (FLEET).
 const MESSAGES_PER_FORGIVEN_CLOSE: usize = 200;
@@ -41,8 +41,8 @@
     span / MS
 }
 
-/// Finds accepted messages that were neither delivered nor ended by a notice, and client connections closed
-/// without an answer.
+/// Finds accepted messages that have not ended, unless they were lost with the state folder, and client
+/// connections closed without an answer, if there are more than are forgiven.
 fn lost(index: &FactIndex) -> Findings {
     let mut found = Vec::new();
     let mut closed = Vec::new();
@@ -77,7 +77,7 @@
     found
 }
 
-/// Finds messages that ended too long after their deadline.
+/// Finds accepted messages that ended too long after their deadline.
 fn late_end(index: &FactIndex) -> Findings {
     let late = index.messages.values().filter(|m| m.accepted_at().is_some()).filter_map(|m| {
         let ended = index.ended_at(m)?;
@@ -96,8 +96,8 @@
     call.reply.is_some_and(|(when, reply)| reply.never_ran() && when <= at)
 }
 
-/// Finds messages that must not be repeated, but took effect twice, were sent again or were handed back
-/// although a call may have run.
+/// Finds messages that must not be repeated, but took effect more than once, or were sent again or handed
+/// back although a call may have run.
 fn twice(index: &FactIndex) -> Findings {
     let mut found = Vec::new();
     for m in index.messages.values() {
@@ -178,7 +178,7 @@
             }
         }
     }
-    // A call within two waits is one violation.
+    // A call within two waits is one violation. Calls of the same time count once too.
     found.sort();
     found.dedup_by(|a, b| a.0 == b.0);
     found
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -17,7 +17,7 @@
 pub const BOOKING: usize = 1;
 /// How long a replaced endpoint drains before it is removed.
 const DRAIN_SPAN: Ns = 4 * SECOND;
-/// SIGKILL follows SIGTERM after this time at the earliest (PROTOCOL, Figures).
+/// Time from SIGTERM to SIGKILL, the shortest that is allowed (PROTOCOL, Figures).
 const KILL_DELAY: Ns = 3_700 * MS;
 
 /// A class of message.
@@ -173,7 +173,8 @@
     pub schedule: Vec<Step>,
 }
 
-/// Returns the classes by number (brief, sections 2.1, 5.1 and 5.2). `work` is the middle of its range there.
+/// Returns the classes by number (brief, sections 2.1, 5.1 and 5.2). `work` is the middle of the range that
+/// the brief gives.
 pub fn classes() -> Vec<Class> {
     vec![
         Class {
@@ -416,11 +417,11 @@
     spec.event.iter().enumerate().map(draw_event).collect()
 }
 
-/// Draws numbers by weight until their weights add up to at least `part`.
+/// Draws numbers by weight until their weights add up to at least the share `part` of all weights.
 fn draw_targets(random: &mut impl Rng, mut weights: Vec<f64>, part: f64) -> Vec<u32> {
     let whole: f64 = weights.iter().sum();
     let (mut sum, mut numbers) = (0.0, Vec::new());
-    // A hair less, as shares don't add up exactly.
+    // Slightly less, as sums of shares have rounding errors.
     while sum < (part - 1e-9) * whole && numbers.len() < weights.len() {
         let next = pick_weighted(random, &weights);
         sum += std::mem::take(&mut weights[next]);
@@ -550,7 +551,7 @@
     all
 }
 
-/// Draws sender, destination, class and size of single messages.
+/// Draws sender, destination, class, work and size of single messages.
 struct MessageSampler<'a> {
     random: rand_chacha::ChaCha8Rng,
     dests: &'a [Destination],
@@ -604,7 +605,7 @@
         self.active_hot_events(at).filter_map(|s| s.event.size).map(|size| size / (1.0 - size)).sum()
     }
 
-    /// Returns a bound on `extra_traffic`: that with all events at once.
+    /// Returns a bound on `extra_traffic`: its value if all events were active at once.
     fn max_extra_traffic(&self) -> f64 {
         let size = |s: &DrawnEvent| s.event.size.map_or(0.0, |size| size / (1.0 - size));
         self.events
--- a/crates/testbed/src/platform/destination.rs
+++ b/crates/testbed/src/platform/destination.rs
@@ -15,16 +15,15 @@
 /// A cold endpoint fails when it is sent more calls than this multiple of its current capacity (brief,
 /// section 1.2).
 pub const OVERLOAD_MULTIPLE: f64 = 2.5;
-/// The calls are counted over this time. Any window of that length counts, so a short burst can exceed the
-/// bound.
+/// Length of the sliding window in which the calls to a cold endpoint are counted.
 const OVERLOAD_WINDOW: Ns = 3 * SECOND;
-/// Calls allowed in addition to that bound, as chance alone may exceed it by a few.
+/// Calls allowed in a window in addition to `OVERLOAD_MULTIPLE`, as chance alone may bring a few more.
 const OVERLOAD_SLACK_CALLS: f64 = 3.0;
-/// Service time of a call that ends with an error, and the shortest of any call.
+/// Service time of a call that fails by `Platform::error_rate`, and the shortest service time of any call.
 const QUICK_ANSWER: Ns = 3 * MS;
 /// How long a draining endpoint still serves new calls. After that it refuses them.
 const DRAIN_GRACE: Ns = 8 * SECOND;
-/// Share of the calls in service that take effect although their sender has closed the connection.
+/// Probability that a call takes effect although its sender closed the connection while it was in service.
 const ABANDONED_EFFECT_SHARE: f64 = 0.5;
 
 /// Number that the testbed gives a call.
@@ -251,7 +250,8 @@
         (self.cold_from + (1.0 - self.cold_from) * ramp).min(1.0)
     }
 
-    /// Counts a call to a cold endpoint, also if it is refused. Returns true if the endpoint fails under it.
+    /// Counts a call to a cold endpoint, whether it is refused later or not, and ends a warm-up that is
+    /// complete. Returns true if the call makes the endpoint fail.
     fn fails_by_overload(&mut self, now: Ns, index: usize) -> bool {
         let capacity_share = self.capacity_share(now, index);
         let bound =
@@ -269,8 +269,8 @@
         warmup.recent_calls.len() as f64 > bound
     }
 
-    /// Takes a probe, which counts as a call against the limit. Returns true if the endpoint would serve a
-    /// call.
+    /// Takes a probe, which counts as a call against the limit. Returns true if the limit has room and the
+    /// destination is not shut.
     pub fn probe(&mut self, now: Ns) -> bool {
         self.limit.take(now).is_ok() && !self.faults.contains_key(&EventKind::Shut)
     }
@@ -323,7 +323,7 @@
         Vec::new()
     }
 
-    /// Puts a call into service and draws how long that takes.
+    /// Puts a call into service and draws its service time.
     fn serve(&mut self, now: Ns, call: &Call) -> Output {
         let fails = self.draw(self.error_rate);
         let slow = self.fault_size(EventKind::Slow).max(1.0);
@@ -468,8 +468,8 @@
 
     #[test]
     fn cold_endpoint_fails_only_above_overload_multiple() {
-        // Four slots of 160 ms serve 25 calls a second, or 4 a second at first. The bound is then 30 calls in
-        // 3 s, and 81 after 3 s of warm-up.
+        // Four slots of 160 ms serve 25 calls a second, or 4 a second at first. The bound in 3 s is 30 calls
+        // at first and 81 after 3 s of warm-up, plus `OVERLOAD_SLACK_CALLS`.
         for (every, falls) in [(100 * MS, false), (15 * MS, true)] {
             let mut d = destination(NO_LIMIT_PER_S, 4);
             d.begin_fault(0, EventKind::Down, 1.0, SECOND);
--- a/crates/testbed/src/platform/limit.rs
+++ b/crates/testbed/src/platform/limit.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LimitKind {
-    /// A token bucket that holds the calls of half a second.
+    /// A token bucket that holds the calls of half a second, at least one.
     Rate,
     /// A number of calls in each window of one second.
     Window,
@@ -51,8 +51,8 @@
     fn refill(&mut self, now: Ns) {
         match self.kind {
             LimitKind::Rate => {
-                let since = (now - self.since).max(0) as f64 / SECOND as f64;
-                self.level = (self.level + since * self.rate()).min(burst(self.rate()));
+                let elapsed_s = (now - self.since).max(0) as f64 / SECOND as f64;
+                self.level = (self.level + elapsed_s * self.rate()).min(burst(self.rate()));
                 self.since = now;
             }
             LimitKind::Window if now - self.since >= WINDOW => {
--- a/crates/testbed/src/score.rs
+++ b/crates/testbed/src/score.rs
@@ -10,7 +10,7 @@
 const OVERALL_WEIGHT: f64 = 0.45;
 const WORST_WINDOW_WEIGHT: f64 = 0.25;
 const WORST_CLASS_WEIGHT: f64 = 0.3;
-/// Length of the windows of which the worst counts.
+/// Length of the windows for `Service::worst_window`. One begins at each full second.
 const WINDOW: Ns = 10 * SECOND;
 /// Prices (brief, sections 3 and 6.7). Each is multiplied by its count per request.
 const WASTED_CALL_PRICE: f64 = 0.086;
@@ -28,15 +28,18 @@
     pub in_time: usize,
     /// Delivered after the aim, but before the deadline.
     pub late: usize,
-    /// Refused by the sender or handed back, and not delivered later.
+    /// Not delivered: the last hand-in was refused by the sender, or accepted and then handed back or refused
+    /// as expired by an endpoint.
     pub handed_back: usize,
-    /// Given up by the sender, failed, or delivered after the deadline.
+    /// Given up by the sender, delivered after the deadline, or not delivered and the last hand-in failed
+    /// (`HandInResult::Failed`).
     pub given_up: usize,
-    /// The client was never answered, so no sender is responsible for the message.
+    /// The last hand-in got no answer, so no sender is responsible for the message.
     pub unheard: usize,
     /// Accepted, but never ended.
     pub lost: usize,
-    /// Accepted messages that were lost with their sender's state folder, which violates no rule.
+    /// Accepted messages that never ended and whose sender's state folder was emptied after they were
+    /// accepted. This violates no rule.
     pub lost_with_folder: usize,
     /// Messages that must not be repeated and took effect more than once under one id.
     pub repeated: usize,
@@ -53,12 +56,13 @@
     pub g: f64,
     /// Worth earned, as a share of the worth of all requests.
     pub whole: f64,
-    /// The same in the worst window.
+    /// Lowest such share of the requests of a window.
     pub worst_window: f64,
-    /// The same in the worst class.
+    /// Lowest such share of the requests of a class.
     pub worst_class: f64,
+    /// Sum of all prices per request, which is subtracted from G.
     pub prices: f64,
-    /// The same by class number.
+    /// By class number: worth earned, as a share of the worth of the class's requests.
     pub classes: Vec<f64>,
 }
 
--- a/crates/testbed/src/spec.rs
+++ b/crates/testbed/src/spec.rs
@@ -1,6 +1,6 @@
 //! The TOML file of an experiment: its types, defaults and validation.
 //!
-//! Unknown keys are refused, and errors name the line and column where there is one.
+//! Unknown keys are refused. Errors of syntax and errors in events name the line and column.
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 use toml::Spanned;
@@ -23,7 +23,8 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Spec {
     pub title: String,
-    /// How long clients hand in messages, in seconds. A play goes on until all accepted messages have ended.
+    /// How long clients hand in new messages, in seconds. A play then goes on until its schedule is over and
+    /// each accepted message has ended or is 2 s past its deadline.
     pub seconds: f64,
     /// Number of senders: processes, or in simulated time instances of the decision module.
     pub senders: u32,
@@ -102,7 +103,7 @@
     pub zones: u32,
     /// Shortest and longest delay after which discovery publishes a change, in seconds.
     pub notice_s: [f64; 2],
-    /// Share of calls that fail with 500 including those outside of faults.
+    /// Share of the calls put into service that fail with 500, with or without a fault.
     pub error_rate: f64,
     /// Additional time of the first call on a new connection, in milliseconds.
     pub handshake_ms: f64,
@@ -134,12 +135,12 @@
 pub struct Clients {
     /// Share of refused messages that are handed in a second time.
     pub retry: f64,
-    /// Share of those second hand-ins that wait for the time given by `Retry-After`.
+    /// Share of those second hand-ins that wait for the time given by `Retry-After`, if the refusal has one.
     pub honour: f64,
     /// Shortest and longest wait of the other second hand-ins, in milliseconds.
     pub backoff_ms: [f64; 2],
-    /// Shortest and longest wait before a message that got no answer is handed to another sender, in
-    /// milliseconds.
+    /// Shortest and longest wait before a message that got no answer is handed in again, to another sender if
+    /// there is one, in milliseconds.
     pub again_ms: [f64; 2],
     /// Peers a second that send no valid request.
     pub strangers: f64,
@@ -167,7 +168,7 @@
     pub sockets: u32,
     pub disk_mb: f64,
     /// How long a process may take to be ready, in seconds. After that it counts as never ready, and clients
-    /// begin all the same (DEPLOY, Limits).
+    /// begin nevertheless (DEPLOY, Limits).
     pub ready_s: f64,
     /// When what senders write to their journal has to be on disk (`store.sync` in their configuration).
     pub sync: Sync,
@@ -230,13 +231,13 @@
     HotDestination,
     /// Senders: traffic is added until the added part is the share `size` of all traffic.
     HotSender,
-    /// Destinations: of those with two endpoints or more, the second one drains and is removed, and a new one
-    /// replaces it.
+    /// Destinations: of those with two endpoints or more, the second one drains and is removed 4 s later. A
+    /// new one replaces it after `for`, but not before the removal.
     Replace,
     /// Senders: SIGKILL, and a new start after `for`.
     Kill,
-    /// Senders: SIGTERM, SIGKILL 3.7 s later if the process is still there, and a new start after `for` from
-    /// then.
+    /// Senders: SIGTERM, SIGKILL 3.7 s later if the process still runs, and a new start 3.7 s plus `for`
+    /// after the SIGTERM.
     Terminate,
     /// Senders: SIGSTOP, and SIGCONT after `for`.
     Pause,
@@ -352,7 +353,7 @@
     /// the seed.
     #[serde(default)]
     pub part: Option<f64>,
-    /// Numbers of the destinations or senders that it affects, in place of `part`.
+    /// Numbers of the destinations or senders that the event affects, in place of `part`.
     #[serde(default)]
     pub which: Vec<u32>,
     /// Strength of the event, if its kind has one; `EventKind` says what it means.
@@ -542,7 +543,7 @@
     Err(InvalidValue::new(format!("{name} is {value}, and has to be between {low} and {high}")))
 }
 
-/// Checks that the two bounds of an interval rise, beginning at `least` or above.
+/// Checks that the bounds of an interval are finite, `least` or more, and not in falling order.
 fn check_interval(name: &str, [low, high]: [f64; 2], least: f64) -> Result<(), InvalidValue> {
     if least <= low && low <= high && high.is_finite() {
         return Ok(());
