--- a/crates/cairnpulley/src/output.rs
+++ b/crates/cairnpulley/src/output.rs
@@ -15,7 +15,8 @@
 pub enum Exit {
     /// The rules were kept, or the state folder is sound.
     Success,
-    /// A rule was broken, the compared service is worse, or the state folder is damaged.
+    /// A rule was broken, B of a comparison is worse or breaks rules in more plays, or the state folder is
+    /// damaged.
     Failure,
     /// The arguments are wrong, or something could not be read, written or started.
     Error,
@@ -49,7 +50,7 @@
     }
 }
 
-/// Seconds between lines of progress if standard error is no terminal.
+/// Seconds between lines of progress if standard error is not a terminal.
 const PROGRESS_INTERVAL_S: i64 = 5;
 
 /// Shows the progress of a play on standard error until the play is over.
--- a/crates/cairnpulley/src/state.rs
+++ b/crates/cairnpulley/src/state.rs
@@ -208,7 +208,7 @@
     Ok(report_left_out(&state))
 }
 
-/// Prints the damage that an export or a repair left out, and returns the exit code.
+/// Prints which damaged parts an export or a repair left out, and returns the exit code.
 fn report_left_out(state: &FolderState) -> Exit {
     let mut exit = Exit::Success;
     for fault in state.faults.iter().filter(|f| !f.expected) {
--- a/crates/cairnpulley/src/testbed.rs
+++ b/crates/cairnpulley/src/testbed.rs
@@ -113,7 +113,7 @@
     Ok(Exit::Success)
 }
 
-/// Prints the schedule that a seed draws from an experiment.
+/// Prints the schedule that is drawn from an experiment with a seed.
 pub fn check(file: &Path, seed: u64) -> Result<Exit, TestbedError> {
     let spec = Spec::read(file)?;
     let plan = Plan::draw(&spec, Seed(seed));
@@ -164,7 +164,7 @@
         if !options.json {
             output::print_verdict(&played.verdict);
         }
-        // After the verdict was printed, so that a full disk does not lose it.
+        // A verdict as text is printed before the play is saved, so that a full disk does not lose it.
         if let Some(out) = &out {
             out.save(&plan, &played)?;
         }
--- a/crates/testbed/src/addresses.rs
+++ b/crates/testbed/src/addresses.rs
@@ -16,7 +16,8 @@
 /// Reserves an address with an unused port, on a host within 127.64.0.0/10 that is derived from the process
 /// id.
 ///
-/// Ephemeral ports that the kernel assigns on 127.0.0.1 cannot clash with it while nothing listens on it.
+/// Ephemeral ports that the kernel assigns on 127.0.0.1 cannot clash with the reserved address, even while
+/// nothing listens there.
 pub fn reserve() -> io::Result<SocketAddr> {
     static NEXT_HOST: AtomicU32 = AtomicU32::new(0);
     // The hosts are reused in turn, so the kernel may offer a port that is reserved but has no listener yet.
@@ -85,7 +86,7 @@
         self.address
     }
 
-    /// Starts or stops to ignore new connections.
+    /// Starts or stops ignoring new connections.
     pub fn set_blackholed(&mut self, blackholed: bool) {
         if blackholed == self.blockers.is_empty() {
             // Another listen call changes the length of the queue. If it fails, connections are established
@@ -112,7 +113,8 @@
     }
 }
 
-/// Begins a connection from the listener's own host, which identifies it, without waiting for its handshake.
+/// Begins a connection without waiting for its handshake. `accept` recognises it by its source, the
+/// listener's own host.
 fn begin_blocker(to: SocketAddr) -> io::Result<std::net::TcpStream> {
     use rustix::net::{bind, connect, socket_with, AddressFamily, SocketFlags, SocketType};
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
--- a/crates/testbed/src/client_retry.rs
+++ b/crates/testbed/src/client_retry.rs
@@ -1,14 +1,14 @@
-//! How clients retry after an answer or without one (PROTOCOL, and brief, section 8). Used on sockets and in
-//! simulated time.
+//! Decides whether and when a client hands a message in again (PROTOCOL, and brief, section 8), on sockets
+//! and in simulated time.
 use crate::clock::{Ns, MS, SECOND};
 use crate::spec::Clients;
 use rand::{Rng, RngExt};
 
-/// How often a message that got no answer is handed in again at most.
+/// Maximum number of retries of a message after hand-ins without an answer.
 const MAX_UNANSWERED_RETRIES: usize = 3;
-/// A message with less time to its deadline is not handed in again.
+/// Time that has to be left until the message's deadline at a retry; the client gives up otherwise.
 const MIN_TIME_LEFT: Ns = 100 * MS;
-/// Clients wait no longer than this for a `Retry-After` (`MaxRetryAfterNs` in the settings).
+/// Longest wait of a client for a `Retry-After`, even if that is longer (`MaxRetryAfterNs` in the settings).
 pub const MAX_RETRY_AFTER: Ns = 2 * SECOND;
 
 /// Whether a hand-in is the first of its message, for the header `X-Second-Try`.
@@ -26,7 +26,7 @@
 pub enum HandInEnd {
     /// Accepted and not handed back, or failed without a retry.
     Final,
-    /// Refused, or handed back later, with the time to wait before a retry if there is one.
+    /// Refused, or accepted and handed back, with the wait before a retry if the sender named one.
     Refused(Option<Ns>),
     Unanswered,
 }
@@ -36,7 +36,7 @@
 pub struct RetryState {
     /// The sender to hand the message to next.
     pub sender: u32,
-    /// What that hand-in is.
+    /// Kind of the next hand-in.
     pub try_kind: TryKind,
     due: Ns,
     refusal_retries_left: usize,
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -30,12 +30,12 @@
     plan: Arc<Plan>,
     pools: Vec<ConnectionPool>,
     context: StubContext,
-    /// When the planned time 0 is on the testbed's clock.
+    /// Time on the testbed's clock from which planned times count.
     start: Ns,
 }
 
-/// Hands in all messages of the plan, counted from `start` on the testbed's clock, and returns once all
-/// clients have finished.
+/// Hands in all messages of the plan and returns once all clients have finished. Planned times count from
+/// `start` on the testbed's clock.
 pub async fn run(plan: &Arc<Plan>, addresses: &[SocketAddr], context: &StubContext, start: Ns) {
     let pool = |address: &SocketAddr| ConnectionPool { address: *address, idle: Mutex::default() };
     let pools = addresses.iter().map(pool).collect();
@@ -131,8 +131,8 @@
 
     /// Sends one request on a pooled connection or a new one.
     ///
-    /// Repeats it on a new connection if a pooled one closes before the first byte of the response, as the
-    /// sender may have closed it between requests.
+    /// Repeats the request on a new connection if a pooled one fails or closes before the response is
+    /// complete, as the sender may have closed it between requests.
     async fn send_request(
         &self,
         sender: u32,
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -6,7 +6,7 @@
 
 /// Quantile of the upper bound of a two-sided 95% interval.
 const UPPER_QUANTILE: f64 = 0.975;
-/// Fewer pairs are not enough to estimate their spread.
+/// Minimum number of pairs from which the spread of their differences is estimated.
 pub const MIN_PAIRS: usize = 3;
 
 /// Why two sets can't be compared.
@@ -55,11 +55,11 @@
 /// The comparison of two sets of plays.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Comparison {
-    /// Number of seeds played on both sides.
+    /// Number of seeds that both sides played and whose plays are not void.
     pub pairs: usize,
     /// Seeds left out because one side did not play them or its play is void.
     pub left_out: Vec<u64>,
-    /// Number of plays with a violated rule: of A, and of B.
+    /// Number of plays in the pairs with a violated rule: of A, and of B.
     pub broken: [usize; 2],
     pub lines: Vec<FigureComparison>,
 }
--- a/crates/testbed/src/faulty_clients.rs
+++ b/crates/testbed/src/faulty_clients.rs
@@ -18,7 +18,7 @@
 
 /// Time from connecting within which a sender has to answer with an error or close (TERMS).
 const DEADLINE: Ns = 3 * SECOND;
-/// The same for a client that sends a long body.
+/// Time from connecting within which a sender has to do so if the client sends a long body.
 const LONG_BODY_DEADLINE: Ns = 6 * SECOND;
 /// Time after which a client gives up.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(9);
@@ -29,6 +29,7 @@
 pub struct RequestFault {
     pub name: &'static str,
     bytes: fn() -> Vec<u8>,
+    /// Time from connecting within which the sender has to answer with an error or close.
     within: Ns,
 }
 
@@ -177,7 +178,7 @@
 
 /// Sends one malformed request and records how its connection ended.
 async fn send_fault(form: &'static RequestFault, sender: u32, address: SocketAddr, context: StubContext) {
-    // A refused connection counts as closed in time.
+    // A refused connection keeps the rule, so nothing is recorded.
     let Ok(stream) = TcpStream::connect(address).await else { return };
     let begun = context.clock.now();
     let mut connection = Connection::new(stream, context.clock);
--- a/crates/testbed/src/http.rs
+++ b/crates/testbed/src/http.rs
@@ -1,5 +1,5 @@
-//! A minimal HTTP/1.1 connection for the stub servers and clients, which need the times of bytes and the
-//! control over how a connection ends. `httparse` parses the heads; bodies need a `Content-Length`.
+//! A minimal HTTP/1.1 connection for the stub servers and clients, which need to know when bytes
+//! arrive and to control how a connection ends. `httparse` parses the heads; bodies need a `Content-Length`.
 use crate::clock::{Clock, Ns};
 use bytes::{Buf, BytesMut};
 use std::io;
@@ -38,7 +38,7 @@
     pub start: Start,
     headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// When the first byte had been read.
+    /// When the first byte had been read, or when reading began if the byte had been read ahead.
     pub first: Ns,
     /// When the last byte had been read.
     pub last: Ns,
@@ -52,7 +52,7 @@
 }
 
 impl Message {
-    /// Returns the first header of a name, which is not case-sensitive.
+    /// Returns the value of the first header with a name, whatever the case of the name's letters.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Waits until the peer has closed the connection. Bytes that arrive before are kept for the next
-    /// message.
+    /// Waits until the connection has ended or more than `MAX_HEAD` bytes are unread. Bytes that arrive
+    /// meanwhile are kept for the next message.
     pub async fn closed(&mut self) {
         while self.buffer.len() <= MAX_HEAD && self.read_more().await.is_ok() {}
     }
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -15,12 +15,12 @@
     plan: Arc<Plan>,
     clock: Clock,
     conditions: BTreeMap<(Link, u32), watch::Sender<LinkCondition>>,
-    /// Kept until this is dropped, as a relay ends when it is dropped.
+    /// Kept as long as `Links`, as a relay ends when it is dropped.
     relays: Mutex<Vec<TcpRelay>>,
 }
 
 impl Links {
-    /// Prepares the links that the plan has faults for; relays start as peers ask for them.
+    /// Prepares the links with planned faults; `connect_address` starts their relays.
     pub fn new(plan: &Arc<Plan>, clock: Clock) -> Links {
         let all = [Link::Endpoints, Link::Discovery, Link::Clients];
         let senders = 0..plan.senders.len() as u32;
--- a/crates/testbed/src/machine.rs
+++ b/crates/testbed/src/machine.rs
@@ -4,8 +4,8 @@
 
 /// Share of the processors that a run may use and still be on time; bursts go far above the mean.
 const USABLE_PROCESSOR_SHARE: f64 = 0.6;
-/// Descriptors that the testbed needs for a link besides its listener: one connection in the mean, as not
-/// every link is connected at a time, while a relayed one has three.
+/// Mean number of descriptors that the testbed needs for a link besides its listener's. Not every link is
+/// connected at a time, while a relayed connection has three.
 const CONNECTION_DESCRIPTORS_PER_LINK: u64 = 1;
 /// Descriptors for files, pipes and timers.
 const OTHER_DESCRIPTORS: u64 = 256;
--- a/crates/testbed/src/messages.rs
+++ b/crates/testbed/src/messages.rs
@@ -34,7 +34,7 @@
     pub dest: u32,
     pub work: Ns,
     pub due: Ns,
-    /// The body of the call is that of the client.
+    /// Whether the body of the call is the one that the client handed in.
     pub intact: bool,
     /// Number of calls so far, including this one.
     pub attempts: usize,
@@ -58,7 +58,8 @@
 }
 
 impl MessageRegistry {
-    /// Registers a message under a new id. The receiver gets a value if the message is handed back.
+    /// Registers a message under a new id. If the message is handed back, the receiver gets the wait
+    /// before a retry, if there is one.
     pub fn register(
         &self,
         random: &mut impl Rng,
@@ -100,7 +101,7 @@
         Some(CalledMessage { dest, work, due, intact, attempts })
     }
 
-    /// Marks a message of which the client learned that it was accepted.
+    /// Marks a message as accepted, once its client has learned of it.
     pub fn note_accepted(&self, id: MessageId) {
         if let Some(entry) = self.entries().get_mut(&id) {
             entry.accepted = true;
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Counts accepted messages that have not ended and whose deadline passed less than `grace` ago.
+    /// Counts accepted messages that have not ended and are less than `grace` past their deadline.
     pub fn count_open(&self, now: Ns, grace: Ns) -> usize {
         self.entries().values().filter(|e| e.accepted && !e.ended && now < e.due + grace).count()
     }
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -23,10 +23,10 @@
 const READINESS_INTERVAL: Duration = Duration::from_millis(20);
 /// Timeout of one readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time within which a process that got SIGKILL has ended, unless something is wrong with the machine.
+/// Time within which a process has to end after SIGTERM or SIGKILL.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes kept of a process's output. Output beyond it is read and discarded, so that the process does not
-/// block.
+/// Size in bytes up to which a sender's log takes the output of its processes. Further output is read and
+/// discarded, so that no process blocks.
 const MAX_LOG_BYTES: u64 = 64 << 20;
 
 /// Why a sender's process cannot be started or ended.
@@ -166,7 +166,7 @@
     /// sender, and `seed` the seed of the process's random numbers, which is new for each process.
     ///
     /// Waits until a process that was told to end has ended, as the new one takes over its address and
-    /// folder. Does nothing if a process runs that was not told to end, as when two restarts overlap.
+    /// folder. Does nothing if the last process was not told to end, as when two restarts overlap.
     pub async fn start(
         &mut self,
         folder: StateFolder,
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -20,8 +20,8 @@
 
 /// Returns the sender at `named`, or the one of this build if no path is given.
 ///
-/// When this program is run by cargo, cargo has built only its own package, so the sender is built first. In
-/// any case the sender beside this program is returned.
+/// Without a path, returns the sender beside this program. If cargo runs this program, cargo has built only
+/// this program's package, so the sender is built first.
 pub fn find(named: Option<&Path>) -> Result<PathBuf, ProgramError> {
     if let Some(path) = named {
         return existing(path.to_path_buf());
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -40,7 +40,7 @@
         Ok(ExperimentFolder(std::path::absolute(path).map_err(file_error(path))?))
     }
 
-    /// Returns a folder that exists already, without a check.
+    /// Refers to the folder at `path` without checking that it exists.
     pub fn open(path: &Path) -> ExperimentFolder {
         ExperimentFolder(path.to_path_buf())
     }
--- a/crates/testbed/src/relay/mod.rs
+++ b/crates/testbed/src/relay/mod.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Whether a connection can be established, which takes both directions.
+    /// Returns true if a connection can be established, for which both directions are needed.
     pub fn accepts_connections(&self) -> bool {
         !self.forward.cut && !self.reverse.cut
     }
--- a/crates/testbed/src/relay/shape.rs
+++ b/crates/testbed/src/relay/shape.rs
@@ -32,7 +32,7 @@
     random: ChaCha8Rng,
     /// When everything sent so far has been transmitted at the bandwidth.
     transmitter_free_at: Ns,
-    /// When the last segment of the stream arrives.
+    /// When the latest segment of the stream so far arrives.
     last_arrival: Ns,
 }
 
@@ -66,7 +66,7 @@
         self.last_arrival
     }
 
-    /// Returns when a datagram arrives: not at all, once, or twice.
+    /// Returns the arrival times of a datagram: none if it is lost, two if it is duplicated.
     pub fn datagram_arrivals(&mut self, now: Ns, bytes: usize, shape: &Shape) -> [Option<Ns>; 2] {
         let at = self.arrival_without_loss(now, bytes, shape);
         if shape.cut || self.happens(shape.loss) {
--- a/crates/testbed/src/relay/tcp.rs
+++ b/crates/testbed/src/relay/tcp.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Copies one direction of a connection until its sender closes it.
+    /// Copies one direction of a connection until its stream ends.
     async fn copy(
         &self,
         mut from: ReadHalf<'_>,
--- a/crates/testbed/src/relay/udp.rs
+++ b/crates/testbed/src/relay/udp.rs
@@ -12,9 +12,9 @@
 
 /// Upper bound of a datagram's size.
 const MAX_DATAGRAM_BYTES: usize = 65_535;
-/// Peers that are relayed at most; datagrams from further peers are dropped.
+/// Maximum number of peers; datagrams from further peers are dropped.
 const MAX_PEERS: usize = 1_024;
-/// Datagrams in flight at most; further ones are dropped, as by a full queue.
+/// Maximum number of datagrams in flight; further ones are dropped, as by a full queue.
 const MAX_IN_FLIGHT: usize = 16_384;
 
 /// A relayed UDP link, which ends when this is dropped.
@@ -67,8 +67,8 @@
     in_flight: Arc<Semaphore>,
 }
 
-/// The socket that stands for a peer towards the target, and the task that relays replies, which ends with
-/// it.
+/// A peer's socket towards the target, and the task that relays the target's replies. The task is aborted
+/// when this is dropped.
 struct Peer {
     far: Arc<UdpSocket>,
     forward_flow: Flow,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Sends a datagram at each of its arrival times.
+/// Sends a datagram at each of its arrival times, unless too many are in flight.
 fn send(
     socket: &Arc<UdpSocket>,
     to: SocketAddr,
--- a/crates/testbed/src/report/page.rs
+++ b/crates/testbed/src/report/page.rs
@@ -7,7 +7,7 @@
 use maud::{html, Markup, PreEscaped, DOCTYPE};
 use plotters::style::RGBColor;
 
-/// Violations that are listed one by one.
+/// Maximum number of violations that are listed one by one.
 const MAX_LISTED_VIOLATIONS: usize = 40;
 
 const STYLE: &str = "
@@ -53,7 +53,7 @@
     }
 }
 
-/// The share of all requests, as a percentage.
+/// A count as a percentage of all requests.
 fn percent(verdict: &Verdict, count: usize) -> String {
     format!("{:.1}%", 100.0 * count as f64 / verdict.counts.asked.max(1) as f64)
 }
--- a/crates/testbed/src/report/series.rs
+++ b/crates/testbed/src/report/series.rs
@@ -54,6 +54,7 @@
 pub struct LimitSeries {
     pub dest: usize,
     pub flagship: bool,
+    /// Rate limit in calls per second.
     pub per_s: f64,
     pub calls: Vec<f64>,
     pub over: Vec<f64>,
@@ -64,7 +65,7 @@
     (terms.request_span.max(SECOND) as f64 / SECOND as f64).ceil() as usize
 }
 
-/// Returns the index of the second of a time, limited to the series.
+/// Returns the index of the second that contains a time, clamped to the series.
 fn second(at: Ns, seconds: usize) -> usize {
     ((at / SECOND).max(0) as usize).min(seconds - 1)
 }
@@ -97,7 +98,8 @@
     OutcomeSeries { seconds: counts }
 }
 
-/// Counts the calls and refusals of the busiest destinations for each second.
+/// Counts the calls of the destinations with the largest planned shares for each second, and the calls
+/// refused over the rate limit.
 pub fn limits(index: &FactIndex, destinations: &[Destination], seconds: usize) -> Vec<LimitSeries> {
     let mut busiest: Vec<usize> = (0..destinations.len()).collect();
     busiest.sort_by(|a, b| destinations[*b].share.total_cmp(&destinations[*a].share));
@@ -119,7 +121,7 @@
     series.collect()
 }
 
-/// Returns all faults of a play. Faults of one kind that begin together are one band.
+/// Returns all faults of a play. Faults of one kind that begin within a second of each other are one band.
 pub fn bands(facts: &[Fact], end: Ns) -> Vec<FaultBand> {
     let mut open: BTreeMap<(String, u32), Ns> = BTreeMap::new();
     let mut single: Vec<(String, u32, Ns, Ns, FaultTarget)> = Vec::new();
@@ -162,7 +164,7 @@
     merge(single)
 }
 
-/// Returns the outer name of an enum variant.
+/// Returns the serialised name of an enum variant.
 fn name(value: &impl serde::Serialize) -> String {
     serde_json::to_value(value).ok().and_then(|v| v.as_str().map(String::from)).unwrap_or_default()
 }
--- a/crates/testbed/src/scale/fleet.rs
+++ b/crates/testbed/src/scale/fleet.rs
@@ -1,9 +1,9 @@
 //! A fleet of reduced senders in one process: each has a real watch on a socket, the real catalogue with its
 //! intake and a real decision module, but neither clients nor endpoints.
 //!
-//! They share catalogue snapshots, as thousands of catalogues would not fit in memory: all start with one
-//! snapshot, and a sender that has built its next snapshot replaces it by the first one built of the same
-//! version. So the processor time of each sender is measured, but its memory is not.
+//! The senders share catalogue snapshots, as thousands of catalogues would not fit in memory: all start with
+//! one snapshot, and a sender that has built its next snapshot replaces it by the first one built of the
+//! same version. So the processor time of each sender is measured, but its memory is not.
 use super::deployment::{zone_name, MACHINE_TYPES, REGIONS, ZONES};
 use super::real_sender;
 use crate::clock::Clock;
@@ -136,7 +136,7 @@
         true
     }
 
-    /// Returns the times since the last call.
+    /// Returns the times recorded since the previous call, and resets them.
     pub fn take_times(&self) -> PropagationTimes {
         let mut times = self.times.lock().expect("no holder panics");
         let each = std::mem::replace(&mut times.each, histogram());
@@ -165,7 +165,7 @@
 pub struct FleetSpec {
     pub seed: Seed,
     pub senders: usize,
-    /// The longest wait of a watch; each one is drawn between half of it and all of it.
+    /// The longest wait of a watch; each wait is drawn between half of it and all of it.
     pub watch: Duration,
     /// The list service's address for each region.
     pub discovery: Vec<SocketAddr>,
@@ -234,7 +234,7 @@
     async fn run(mut self) {
         let (mut connection, mut failed) = (None, false);
         loop {
-            // After a failure it asks for missed changes without waiting for new ones.
+            // After a failure the sender asks for missed changes without waiting for new ones.
             let wait = match failed {
                 true => Duration::ZERO,
                 false => self.watch.mul_f64(self.random.random_range(0.5..1.0)),
--- a/crates/testbed/src/scale/list_service.rs
+++ b/crates/testbed/src/scale/list_service.rs
@@ -1,6 +1,6 @@
 //! Stub discovery service for lists of any size and thousands of watches, with one address per region.
 //!
-//! A region can be cut off: its connections stay open but get no responses.
+//! A region can be cut off: its connections stay open, but its list requests get no responses.
 use super::change_log::{ChangeLog, ListResponse};
 use super::deployment::{Change, Deployment, REGIONS};
 use crate::addresses;
@@ -31,7 +31,7 @@
     pub empty_answers: u64,
     /// Bytes of the bodies and heads of list responses.
     pub bytes: u64,
-    /// Bytes of the heads of list requests.
+    /// Approximate bytes of the heads of list requests.
     pub request_bytes: u64,
     /// Notices received, one for each ended message.
     pub notices: u64,
@@ -126,7 +126,8 @@
         *self.shared.version.borrow()
     }
 
-    /// Cuts a region off or restores it. Its connections stay open but silent meanwhile.
+    /// Cuts a region off or restores it. Meanwhile its connections stay open, but list requests get no
+    /// responses.
     pub fn set_cut(&self, region: u32, is_cut: bool) {
         self.shared.cut[region as usize].send_replace(is_cut);
     }
--- a/crates/testbed/src/scale/load.rs
+++ b/crates/testbed/src/scale/load.rs
@@ -140,7 +140,7 @@
 #[derive(Clone, Debug)]
 pub struct Load {
     pub seed: Seed,
-    /// Number of the load among those on one sender, so that each draws other message ids.
+    /// Number of the load among those on one sender, so that each draws different message ids.
     pub number: u64,
     pub skew: Skew,
     /// Whether all messages are for destinations that are down.
@@ -164,9 +164,12 @@
     /// Messages taken on that are for destinations that are up.
     pub taken_on_for_live: usize,
     pub delivered: usize,
+    /// Calls that the endpoints received during the load.
     pub calls: u64,
+    /// Connections that the endpoints accepted during the load.
     pub connections: u64,
     pub destinations_used: usize,
+    /// Response times of the hand-ins that were accepted or refused.
     pub answer_ms_p50: f64,
     pub answer_ms_p99: f64,
     pub answer_ms_max: f64,
@@ -271,7 +274,7 @@
 }
 
 impl Clients {
-    /// Hands one message in, and notes the result and its time.
+    /// Hands one message in, and returns the result with the time that it took.
     async fn hand_in(self: Arc<Self>, id: u64, destination: u32, live: bool) -> HandIn {
         let begun = self.clock.now();
         let result = timeout(RESPONSE_TIMEOUT, self.send_request(id, destination))
@@ -290,7 +293,7 @@
         )
         .into_bytes();
         request.resize(request.len() + BODY_BYTES, b'x');
-        // The sender may have closed an idle connection, so a failure on one is followed by another attempt.
+        // The sender may have closed an idle connection, so after a failure the next is tried.
         while let Some(mut connection) = self.take_idle() {
             if let Some(result) = exchange(&mut connection, &request).await {
                 self.put_back(connection);
--- a/crates/testbed/src/scale/sender_bench.rs
+++ b/crates/testbed/src/scale/sender_bench.rs
@@ -33,12 +33,12 @@
 pub const SETTLE_TIME: Duration = Duration::from_secs(2);
 /// Number of changes in the idle run.
 const CHANGES: u32 = 100;
-/// Interval between them, a thousandth of that at 3,400 changes per day.
+/// Interval between changes, about a thousandth of that at 3,400 changes per day.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(25);
 /// Duration of the load during which a whole list is replaced: longer than loading the list takes on any
 /// machine.
 const REPLACEMENT_TIME: Duration = Duration::from_secs(4);
-/// Time from the start of that load to the replacement.
+/// Time from the start of the load to the replacement of the list.
 const REPLACEMENT_START: Duration = Duration::from_millis(500);
 /// Interval at which open descriptors are counted.
 const DESCRIPTOR_SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
@@ -53,8 +53,9 @@
     pub fetched: Counts,
     pub idle_memory: u64,
     pub most_memory_until_idle: u64,
+    /// Share of one processor that the event loop uses while idle.
     pub idle_processor_share: f64,
-    /// Processor time of the loop per change, including its watch, minus that of an idle loop.
+    /// Processor time of the event loop per change, including the watch, minus that of an idle loop.
     pub change_processor_us: f64,
     pub change_bytes: f64,
     pub traffic: Vec<TrafficReport>,
@@ -62,7 +63,9 @@
     pub replacements: Vec<Replacement>,
     /// Only at the largest size.
     pub backlog: Option<Vec<Backlog>>,
+    /// Peak before the backlog is built up.
     pub most_memory: u64,
+    /// Size of the state folder after all loads.
     pub state_bytes: u64,
     pub log_lines: usize,
 }
@@ -88,7 +91,8 @@
     pub most_memory: u64,
 }
 
-/// The measurements after `held` messages for destinations that are down were taken on.
+/// The measurements of one load of the backlog: memory and state after `held` messages for destinations that
+/// are down were taken on, processor share and loop delays during the load.
 #[derive(Serialize)]
 pub struct Backlog {
     pub held: usize,
@@ -131,7 +135,7 @@
 }
 
 impl Bench {
-    /// Starts the sender at `program` with its files in `folder`.
+    /// Starts the stubs, and the sender at `program` with its files in `folder`.
     pub fn start(program: &Path, folder: &Path, config: &BenchConfig) -> Result<Bench, Box<dyn Error>> {
         let seed = config.seed;
         let endpoints = Endpoints::start(ENDPOINT_WORK, config.down)?;
@@ -233,8 +237,8 @@
         Ok(Replacement { holds, outcome, fetched, memory: memory.current, most_memory: memory.peak })
     }
 
-    /// Builds up a backlog of messages for destinations that are down, with a measurement before it and after
-    /// each load.
+    /// Builds up a backlog of messages for destinations that are down. Measures memory and state before the
+    /// first load, and memory, state, processor share and loop delays at each load.
     async fn backlog(&mut self) -> Result<Vec<Backlog>, Box<dyn Error>> {
         let memory = self.sender.memory()?.current;
         let state_bytes = self.sender.state_bytes()?;
@@ -255,7 +259,7 @@
         Ok(points)
     }
 
-    /// Runs all measurements at this size, and ends the sender.
+    /// Runs all measurements at this size, and kills the sender.
     pub async fn measure(mut self, scope: BenchScope) -> Result<Row, Box<dyn Error>> {
         let ready = self.sender.wait_until_ready(READINESS_TIMEOUT).await;
         sleep(SETTLE_TIME).await;
